--- a/crates/admission/src/action.rs
+++ b/crates/admission/src/action.rs
@@ -7,16 +7,16 @@
 
 use crate::Counter;
 
-/// What the scheduler asks its owner to do.
+/// An action that the owner of the scheduler carries out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Ask the key owner for leave to dispatch; answered by `Permit`, `Settled` or `Denied`.
+    /// Ask the key owner for permission to dispatch; answered by `Permit`, `Settled` or `Denied`.
     Claim {
         /// The request.
         id: RequestId,
         /// Its key.
         key: RequestKey,
-        /// Its transmission number.
+        /// Number of this transmission.
         attempt: Attempt,
         /// Time since the caller's first attempt.
         age: Span,
@@ -71,7 +71,7 @@
         /// The reply.
         reply: OfferReply,
     },
-    /// Report the outcome of a request taken from a peer.
+    /// Report the outcome of a request that was taken from a peer.
     OfferOutcome {
         /// The peer.
         to: SocketAddrV4,
@@ -85,8 +85,8 @@
         /// The acknowledgement.
         done: OfferDone,
     },
-    /// The drain is complete: no request is held any more.
+    /// The drain is complete: the scheduler holds no more requests.
     Drained,
-    /// Add one to a counter.
+    /// Increment a counter.
     Count(Counter),
 }
--- a/crates/admission/src/arrival.rs
+++ b/crates/admission/src/arrival.rs
@@ -1,4 +1,4 @@
-//! Arrivals: duplicates, classification and admission.
+//! Admission of new requests: duplicates, classification, queueing and shedding.
 
 use usher_types::{Attempt, ClassRule, Refusal, Request, RequestId, Span, Time};
 
@@ -6,7 +6,7 @@
 use crate::entry::Entry;
 use crate::job::{Job, Queued};
 use crate::rank::Rank;
-use crate::task::{Caller, Doubt, Task};
+use crate::task::{PossibleRun, Recipient, Task};
 use crate::{Action, Counter, QueueOrder, Scheduler};
 
 impl Scheduler {
@@ -15,8 +15,8 @@
             self.count(Counter::Joined);
             return;
         }
-        let caller = Caller::Local(request.id);
-        let job = Job::new(self.task(now, request, caller));
+        let recipient = Recipient::Local(request.id);
+        let job = Job::new(self.task(now, request, recipient));
         if self.draining.is_some() {
             self.refuse(now, job, Refusal::Draining);
         } else if job.task.request.budget.get() == 0 {
@@ -24,11 +24,11 @@
         } else if job.task.request.deadline <= now {
             self.refuse(now, job, Refusal::Expired);
         } else {
-            self.place(now, job);
+            self.queue_or_refuse(now, job);
         }
     }
 
-    /// Attaches a duplicate to the request that is held under the same id or key.
+    /// Attaches a duplicate to the held request with the same id or key.
     fn join(&mut self, now: Time, request: &Request) -> bool {
         let id = self.table.resolve(request.id);
         let known = self.table.get(&id).is_some();
@@ -37,8 +37,8 @@
         let Some(mut entry) = self.table.take(&held) else {
             return false;
         };
-        let caller = Caller::Local(request.id);
-        if !entry.task().callers.contains(&caller) {
+        let recipient = Recipient::Local(request.id);
+        if !entry.task().recipients.contains(&recipient) {
             self.attach(now, entry.task_mut(), request, held);
         }
         if let Entry::Finished(job) = &entry {
@@ -51,29 +51,29 @@
     }
 
     fn attach(&mut self, now: Time, task: &mut Task, request: &Request, held: RequestId) {
-        task.callers.push(Caller::Local(request.id));
+        task.recipients.push(Recipient::Local(request.id));
         if request.id != held {
             self.table.alias(request.id, held);
         }
-        // An attempt in between went to another agent.
+        // A gap in the attempt numbers: an attempt in between went to another agent.
         if request.attempt > task.request.attempt.next() && !task.granted {
-            task.doubt = task.doubt.max(Doubt::Retry);
+            task.possible_run = task.possible_run.max(PossibleRun::EarlierAttempt);
         }
         task.request.attempt = task.request.attempt.max(request.attempt);
         task.request.deadline = task.request.deadline.max(request.deadline);
         task.rank = self.rank(task.request.deadline, task.rank.sequence);
-        task.goal = task.goal.max(self.goal(now, request.deadline));
-        task.limit_start(now, self.policy.refusal);
+        task.finish_by = task.finish_by.max(self.finish_by(now, request.deadline));
+        task.set_latest_start(now, self.policy.refusal);
     }
 
-    fn goal(&self, now: Time, deadline: Time) -> Time {
+    fn finish_by(&self, now: Time, deadline: Time) -> Time {
         now + deadline
             .since(now)
             .scale(f64::from(self.policy.horizon) / 100.0)
     }
 
-    /// The record of a request that is not held yet.
-    pub(crate) fn task(&mut self, now: Time, mut request: Request, caller: Caller) -> Task {
+    /// Creates the task of a request that is not held yet.
+    pub(crate) fn task(&mut self, now: Time, mut request: Request, recipient: Recipient) -> Task {
         let rule = self.profile.methods.get(&request.method);
         let long = rule.is_some_and(|rule| rule.long);
         request.priority = rule.map_or(request.priority, |rule: &ClassRule| rule.priority);
@@ -83,26 +83,26 @@
         } else {
             Class::Short
         };
-        let doubt = if request.attempt > Attempt::new(1) {
-            Doubt::Retry
+        let possible_run = if request.attempt > Attempt::new(1) {
+            PossibleRun::EarlierAttempt
         } else {
-            Doubt::None
+            PossibleRun::None
         };
         self.sequence += 1;
         let mut task = Task {
-            callers: vec![caller],
+            recipients: vec![recipient],
             arrived: now,
             class,
             cost,
-            latest: request.deadline,
-            goal: self.goal(now, request.deadline),
+            latest_start: request.deadline,
+            finish_by: self.finish_by(now, request.deadline),
             rank: self.rank(request.deadline, self.sequence),
-            doubt,
+            possible_run,
             granted: false,
             offers: Vec::new(),
             request,
         };
-        task.limit_start(now, self.policy.refusal);
+        task.set_latest_start(now, self.policy.refusal);
         task
     }
 
@@ -126,9 +126,9 @@
         Rank { deadline, sequence }
     }
 
-    /// Queues a request that can meet its deadline here, else offers or refuses it.
-    pub(crate) fn place(&mut self, now: Time, mut job: Job<Queued>) {
-        job.task.limit_start(now, self.policy.refusal);
+    /// Queues a request that can finish in time here; else offers or refuses it.
+    pub(crate) fn queue_or_refuse(&mut self, now: Time, mut job: Job<Queued>) {
+        job.task.set_latest_start(now, self.policy.refusal);
         if let Some(shed) = self.admit(now, &job.task) {
             for id in shed {
                 self.shed(now, id);
@@ -141,7 +141,9 @@
         }
     }
 
-    /// Requests to shed so that the task can be queued; `None` when it must be refused.
+    /// Requests to shed so that the task can be queued.
+    ///
+    /// `None` if the task cannot be queued.
     pub(crate) fn admit(&self, now: Time, task: &Task) -> Option<Vec<RequestId>> {
         if task.request.deadline <= now {
             return None;
@@ -158,18 +160,18 @@
             return Some(Vec::new());
         }
         if self.policy.shedding {
-            return queue.make_room(now, task, &forecast);
+            return queue.requests_to_shed(now, task, &forecast);
         }
         let wait = forecast.wait(queue.work_before(task.rank));
-        (wait + task.cost <= task.room(now)).then(Vec::new)
+        (wait + task.cost <= task.time_available(now)).then(Vec::new)
     }
 
     fn shed(&mut self, now: Time, id: RequestId) {
-        self.withdraw(now, &id, Refusal::Shed);
+        self.refuse_waiting(now, &id, Refusal::Shed);
     }
 
     /// Refuses a request that waits for a slot.
-    pub(crate) fn withdraw(&mut self, now: Time, id: &RequestId, refusal: Refusal) {
+    pub(crate) fn refuse_waiting(&mut self, now: Time, id: &RequestId, refusal: Refusal) {
         match self.table.take(id) {
             Some(Entry::Queued(job)) => self.refuse(now, job, refusal),
             Some(Entry::Claimed(job)) => self.refuse_claimed(now, job, refusal),
--- a/crates/admission/src/claiming.rs
+++ b/crates/admission/src/claiming.rs
@@ -1,4 +1,4 @@
-//! Claims on keys, refusals and outcomes.
+//! Claims on idempotency keys, refusals, and the delivery of outcomes.
 
 use usher_types::{Outcome, Refusal, RequestId, Span, Time};
 
@@ -6,29 +6,30 @@
 use crate::entry::Entry;
 use crate::job::{Claimed, Job, Queued};
 use crate::queue::Readiness;
-use crate::task::{Caller, Doubt, Task};
+use crate::task::{PossibleRun, Recipient, Task};
 use crate::{Action, Counter, Scheduler};
 
-// Claims are sent for this many requests per slot at the head of a queue.
+// Number of requests at the head of a queue, per slot, for which claims are sent.
 const CLAIMS_PER_SLOT: usize = 2;
 const MAX_CLAIM_LEAD: Span = Span::from_millis(50);
 const LEAD_SMOOTHING: f64 = 0.1;
-// Round trips between a claim and the time at which its slot is expected to be free.
-const LEAD_TRIPS: u64 = 2;
-// Bounds the rate of ticks while the estimate of a free slot moves.
+// A claim is sent this many round trips before its slot is expected to be free.
+const LEAD_ROUND_TRIPS: u64 = 2;
+// Limits the rate of ticks while the forecast of the next free slot keeps changing.
 const MIN_CLAIM_WAIT: Span = Span::from_millis(1);
+// Retry delays that refusals suggest to the caller.
 const MIN_RETRY: Span = Span::from_millis(10);
 const BACKEND_RETRY: Span = Span::from_millis(100);
-// A key owner that left is replaced after seconds.
+// It takes seconds to replace a key owner that left.
 const OWNER_RETRY: Span = Span::from_secs(1);
 
 impl Scheduler {
-    /// Sends claims for requests that are expected to get a slot within a round trip.
+    /// Sends claims for requests that are expected to get a slot within the claim lead.
     ///
-    /// As many requests as there are slots are claimed in any case: runs that end sooner than
-    /// estimated would otherwise leave their slots idle for a round trip.
-    pub(crate) fn ask_claims(&mut self, now: Time) {
-        self.claim_wake = None;
+    /// The first requests of a queue, one per slot, are claimed at once. Otherwise, runs that end
+    /// earlier than estimated would leave their slots idle for a round trip.
+    pub(crate) fn send_claims(&mut self, now: Time) {
+        self.claim_timer = None;
         for class in [Class::Short, Class::Long] {
             for id in self.claims_due(now, class) {
                 if let Some(Entry::Queued(mut job)) = self.table.take(&id) {
@@ -41,18 +42,18 @@
 
     fn claims_due(&mut self, now: Time, class: Class) -> Vec<RequestId> {
         let forecast = self.forecast(now, class);
-        let places = usize::from(self.runs.slots.get()) * CLAIMS_PER_SLOT;
+        let claim_limit = usize::from(self.runs.slots.get()) * CLAIMS_PER_SLOT;
         let mut ahead = Span::ZERO;
         let mut due = Vec::new();
-        for (position, waiting) in self.table.queue(class).iter().take(places).enumerate() {
+        for (position, waiting) in self.table.queue(class).iter().take(claim_limit).enumerate() {
             let wait = forecast.wait(ahead);
             ahead = ahead + waiting.cost;
             if waiting.readiness != Readiness::Unclaimed {
                 continue;
             }
             if wait > self.claim_lead && position >= usize::from(self.runs.slots.get()) {
-                let wake = now + (wait - self.claim_lead).max(MIN_CLAIM_WAIT);
-                self.claim_wake = Some(self.claim_wake.map_or(wake, |w| w.min(wake)));
+                let timer = now + (wait - self.claim_lead).max(MIN_CLAIM_WAIT);
+                self.claim_timer = Some(self.claim_timer.map_or(timer, |w| w.min(timer)));
                 break;
             }
             due.push(waiting.id);
@@ -75,7 +76,7 @@
     pub(crate) fn permit(&mut self, now: Time, id: RequestId, start_by: Time) {
         match self.table.take(&id) {
             Some(Entry::Queued(job)) if job.state.claim.is_some() => {
-                self.learn_lead(now, job.state.claim);
+                self.update_lead(now, job.state.claim);
                 self.permit_queued(now, job, start_by);
             }
             Some(Entry::Refusing(mut job)) => {
@@ -103,16 +104,16 @@
         }
     }
 
-    fn learn_lead(&mut self, now: Time, asked: Option<Time>) {
-        let trip = now.since(asked.unwrap_or(now));
-        let lead = (trip * LEAD_TRIPS).min(MAX_CLAIM_LEAD);
-        let kept = self.claim_lead.scale(1.0 - LEAD_SMOOTHING);
-        self.claim_lead = kept + lead.scale(LEAD_SMOOTHING);
+    fn update_lead(&mut self, now: Time, claimed_at: Option<Time>) {
+        let round_trip = now.since(claimed_at.unwrap_or(now));
+        let lead = (round_trip * LEAD_ROUND_TRIPS).min(MAX_CLAIM_LEAD);
+        let previous = self.claim_lead.scale(1.0 - LEAD_SMOOTHING);
+        self.claim_lead = previous + lead.scale(LEAD_SMOOTHING);
     }
 
-    /// A grant arrived for a request that has ended.
+    /// Releases a grant that arrived after its request had ended.
     ///
-    /// It is not given back while another request under the same key is held, which may use it.
+    /// The grant is kept while another request with the same key is held, which may use it.
     fn release_late(&mut self, id: RequestId) {
         match self.releases.remove(&id) {
             Some(key) if self.table.holder(key).is_some() => {}
@@ -156,14 +157,15 @@
         }
     }
 
-    /// Refuses a request that holds no leave to be dispatched.
+    /// Refuses a request that has no permission to be dispatched.
     ///
-    /// The caller is told "not run" only when no other copy can have run. An earlier attempt of a
-    /// request that may not be repeated is resolved by a claim.
+    /// The outcome is "not run" only if no other copy can have run. For a once request, a claim
+    /// finds out whether an earlier attempt has run.
     pub(crate) fn refuse(&mut self, now: Time, mut job: Job<Queued>, refusal: Refusal) {
         self.count(Counter::Refused);
         let in_time = job.task.request.deadline > now && refusal != Refusal::NoOwner;
-        let resolvable = job.task.request.once && job.task.doubt == Doubt::Retry;
+        let resolvable =
+            job.task.request.once && job.task.possible_run == PossibleRun::EarlierAttempt;
         if resolvable && in_time {
             if job.state.claim.is_none() {
                 self.claim(now, &mut job);
@@ -187,9 +189,9 @@
     }
 
     fn refusal_outcome(&self, now: Time, task: &Task, refusal: Refusal) -> Outcome {
-        match task.doubt {
-            Doubt::None => self.not_run(now, refusal),
-            Doubt::Retry | Doubt::Copy => Outcome::Unknown,
+        match task.possible_run {
+            PossibleRun::None => self.not_run(now, refusal),
+            PossibleRun::EarlierAttempt | PossibleRun::Copy => Outcome::Unknown,
         }
     }
 
@@ -205,7 +207,7 @@
         Outcome::NotRun { refusal, retry }
     }
 
-    /// Gives an unused grant back, so that a later attempt can be granted.
+    /// Releases an unused grant, so that a later attempt can get one.
     fn release(&mut self, task: &Task) {
         if task.request.once && task.granted {
             let key = task.request.key;
@@ -221,24 +223,24 @@
         self.releases.insert(task.id(), task.request.key);
     }
 
-    /// Ends a request and sends its outcome to all who wait for it.
+    /// Ends a request and sends its outcome to every recipient.
     pub(crate) fn finish<S>(&mut self, now: Time, job: Job<S>, outcome: Outcome) {
         self.table.unalias(&job.task);
         let mut reported = false;
-        for caller in &job.task.callers {
-            match *caller {
-                Caller::Local(id) => {
+        for recipient in &job.task.recipients {
+            match *recipient {
+                Recipient::Local(id) => {
                     let outcome = outcome.clone();
                     self.out.push(Action::Reply { id, outcome });
                 }
-                Caller::Peer(to) => {
+                Recipient::Peer(to) => {
                     self.report(to, job.task.id(), outcome.clone());
                     reported = true;
                 }
             }
         }
         if reported {
-            let job = job.finish(outcome, now + Self::RESEND);
+            let job = job.finish(outcome, now + Self::RESEND_INTERVAL);
             self.table.insert(Entry::Finished(job));
         }
     }
--- a/crates/admission/src/class.rs
+++ b/crates/admission/src/class.rs
@@ -1,4 +1,4 @@
-/// Class of a request by the time that it occupies a slot.
+/// Class of a request, by its service time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Class {
     Short,
--- a/crates/admission/src/recent.rs
+++ b/crates/admission/src/closed_offers.rs
@@ -5,14 +5,14 @@
 // Maximum lifetime of a packet: a copy of an offer may arrive this late.
 const RETENTION: Span = Span::from_secs(30);
 
-/// Offers that were declined or have been completed; later copies are declined.
+/// Offers that were declined or completed; later copies of them are declined.
 #[derive(Debug, Default)]
-pub(crate) struct Recent {
+pub(crate) struct ClosedOffers {
     ids: HashSet<RequestId>,
     expiry: VecDeque<(Time, RequestId)>,
 }
 
-impl Recent {
+impl ClosedOffers {
     pub(crate) fn add(&mut self, now: Time, id: RequestId) {
         self.expire(now);
         if self.ids.insert(id) {
--- a/crates/admission/src/counter.rs
+++ b/crates/admission/src/counter.rs
@@ -2,16 +2,16 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Occurrences that the scheduler counts.
+/// Events counted by the scheduler.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Counter {
-    /// A duplicate joined a request that is held.
+    /// A duplicate of a held request arrived.
     Joined,
     /// A request was refused before dispatch.
     Refused,
-    /// A run was repeated.
+    /// A request was queued for another run.
     Retried,
-    /// A repetition was denied by the attempt budget or the retry budget.
+    /// The attempt budget or the retry budget allowed no further run.
     RetryDenied,
     /// A grant expired before a slot was free.
     ClaimLapsed,
@@ -23,9 +23,9 @@
     OfferLost,
     /// A peer did not report an outcome in time.
     OutcomeLost,
-    /// A short request exceeded the short class's bound.
+    /// A short request ran longer than the bound of the short class.
     Aged,
-    /// An event referred to a request that is not in the required state.
+    /// An event named a request that is unknown or in another state.
     Stale,
 }
 
--- a/crates/admission/src/entry.rs
+++ b/crates/admission/src/entry.rs
@@ -4,7 +4,7 @@
 use crate::queue::{Readiness, Waiting};
 use crate::task::Task;
 
-/// A request in any of its states, as the table holds it.
+/// A request in any of its states, as stored in the table.
 #[derive(Debug)]
 pub(crate) enum Entry {
     Queued(Job<Queued>),
@@ -16,7 +16,7 @@
     Finished(Job<Finished>),
 }
 
-// Covers the way of an outcome that the peer sent just before the deadline.
+// Transit time of an outcome that the peer sent just before the deadline.
 const OUTCOME_GRACE: Span = Span::from_millis(100);
 
 impl Entry {
@@ -48,11 +48,11 @@
         matches!(self, Self::Finished(_))
     }
 
-    /// When the entry needs attention if no event occurs.
+    /// When the timer of the entry is due.
     pub(crate) fn due(&self) -> Option<Time> {
         match self {
-            Self::Queued(job) => Some(job.task.latest),
-            Self::Claimed(job) => Some(job.task.latest.min(job.state.start_by)),
+            Self::Queued(job) => Some(job.task.latest_start),
+            Self::Claimed(job) => Some(job.task.latest_start.min(job.state.start_by)),
             Self::Dispatched(job) => job.state.check,
             Self::Refusing(job) => Some(job.task.request.deadline),
             Self::Offered(job) => Some(job.state.resend),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Place in the queue, for the states that wait for a slot.
+    /// The queue's view of the request, in the states that wait for a slot.
     pub(crate) fn waiting(&self) -> Option<Waiting> {
         let readiness = match self {
             Self::Queued(job) if !job.task.request.once => Readiness::Ready,
@@ -75,8 +75,8 @@
         Some(Waiting {
             id: task.id(),
             cost: task.cost,
-            latest: task.latest,
-            goal: task.goal,
+            latest_start: task.latest_start,
+            finish_by: task.finish_by,
             priority: task.request.priority,
             readiness,
             offerable: !claimed && task.is_offerable(),
--- a/crates/admission/src/estimate.rs
+++ b/crates/admission/src/estimate.rs
@@ -1,14 +1,15 @@
 use indexmap::IndexMap;
 use usher_types::Span;
 
-// Method names come from callers; further ones share one estimate.
+// Limits memory, as callers choose the method names; further methods share one estimate.
 const MAX_METHODS: usize = 1_024;
-// A straggler counts for at most this multiple of the estimate.
-const CLIP: f64 = 4.0;
+// A sample counts for at most this multiple of the estimate, which limits the effect of outliers.
+const MAX_SAMPLE_RATIO: f64 = 4.0;
 const SMOOTHING: f64 = 0.1;
-const UNMEASURED: Span = Span::from_millis(10);
+// Assumed service time until the first run has ended.
+const DEFAULT_ESTIMATE: Span = Span::from_millis(10);
 
-/// Clipped, exponentially smoothed mean of service times.
+/// Exponentially smoothed mean of service times, with clipped outliers.
 #[derive(Debug, Clone, Copy, Default)]
 struct Mean {
     value: Span,
@@ -22,13 +23,13 @@
             self.value = sample;
             return;
         }
-        let clipped = sample.min(self.value.scale(CLIP).max(Span::from_micros(1)));
-        let share = SMOOTHING.max(1.0 / f64::from(self.samples));
-        self.value = self.value.scale(1.0 - share) + clipped.scale(share);
+        let clipped = sample.min(self.value.scale(MAX_SAMPLE_RATIO).max(Span::from_micros(1)));
+        let alpha = SMOOTHING.max(1.0 / f64::from(self.samples));
+        self.value = self.value.scale(1.0 - alpha) + clipped.scale(alpha);
     }
 }
 
-/// Estimated service time of each method.
+/// Estimated service time of each method, and of all methods together.
 #[derive(Debug, Default)]
 pub(crate) struct Estimates {
     methods: IndexMap<String, Mean>,
@@ -55,7 +56,7 @@
     /// Service time to assume for a method that has not been measured.
     pub(crate) fn overall(&self) -> Span {
         if self.overall.samples == 0 {
-            UNMEASURED
+            DEFAULT_ESTIMATE
         } else {
             self.overall.value
         }
--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -6,12 +6,12 @@
     Time,
 };
 
-/// What the scheduler reacts to.
+/// An input of the scheduler.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// A caller's request arrived on a flow that this agent holds.
     ///
-    /// A copy under the same id may arrive only until the request has an outcome.
+    /// Copies with the same id may arrive only until the request has an outcome.
     Arrive(Request),
     /// The key owner granted the claim of a request.
     Permit {
@@ -20,14 +20,14 @@
         /// The run must start before this time.
         start_by: Time,
     },
-    /// The key owner knows the outcome, or knows that it is unknown.
+    /// The key owner reported the outcome of the key, which may be `Unknown`.
     Settled {
         /// The request.
         id: RequestId,
         /// Outcome for the caller.
         outcome: Outcome,
     },
-    /// The key owner cannot be asked or may not grant.
+    /// The key owner cannot be reached or may not grant claims.
     Denied {
         /// The request.
         id: RequestId,
@@ -39,12 +39,12 @@
         /// The response.
         outcome: Outcome,
     },
-    /// The run may have taken place, but its response will not arrive.
+    /// The request may have run, but its response will not arrive.
     Lost {
         /// The request.
         id: RequestId,
     },
-    /// The backend server definitely did not start the run.
+    /// The backend server did not start the run.
     Refused {
         /// The request.
         id: RequestId,
@@ -67,7 +67,7 @@
     OfferOutcome(OfferOutcome),
     /// A peer acknowledges an outcome.
     OfferDone(OfferDone),
-    /// Waits that the other agents of the service reported, by address.
+    /// Estimated waits that the other agents of the service reported, by address.
     Peers(Vec<(SocketAddrV4, Span)>),
     /// A new version of the service's profile is in force.
     Profile(Arc<Profile>),
--- a/crates/admission/src/expiry.rs
+++ b/crates/admission/src/expiry.rs
@@ -1,4 +1,4 @@
-//! Timers: deadlines, lapsed grants, aging of runs and resends.
+//! Timers: deadlines, expired grants, reclassification of long runs, and resends.
 
 use usher_types::{Outcome, Refusal, RequestId, Time};
 
@@ -9,7 +9,7 @@
 use crate::{Action, Counter, Scheduler};
 
 impl Scheduler {
-    /// Applies all timers that are due.
+    /// Handles all timers that are due.
     pub(crate) fn expire(&mut self, now: Time) {
         while let Some(id) = self.table.first_due(now) {
             if let Some(entry) = self.table.take(&id) {
@@ -40,7 +40,7 @@
     }
 
     fn expire_claimed(&mut self, now: Time, job: Job<Claimed>) {
-        if job.task.latest <= now {
+        if job.task.latest_start <= now {
             self.refuse_claimed(now, job, Refusal::Expired);
         } else {
             self.count(Counter::ClaimLapsed);
@@ -48,11 +48,11 @@
         }
     }
 
-    /// Counts a run past the short bound as long and cancels one past its deadline.
+    /// Moves a run past the short bound to the long class, cancels one past its deadline.
     fn check_run(&mut self, now: Time, mut job: Job<Dispatched>) {
         let id = job.task.id();
         let running = now.since(job.state.started);
-        if self.ages(job.task.class) && running >= self.profile.short_bound {
+        if self.can_age(job.task.class) && running >= self.profile.short_bound {
             job.task.class = Class::Long;
             self.runs.age(&id);
             self.count(Counter::Aged);
@@ -64,14 +64,14 @@
         self.table.insert(Entry::Dispatched(job));
     }
 
-    fn ages(&self, class: Class) -> bool {
+    fn can_age(&self, class: Class) -> bool {
         self.policy.classes && class == Class::Short
     }
 
-    /// When a run reaches the short bound or its deadline, whichever lies ahead first.
+    /// When a run next reaches the short bound or its deadline.
     pub(crate) fn next_check(&self, now: Time, task: &Task, started: Time) -> Option<Time> {
         let aging = self
-            .ages(task.class)
+            .can_age(task.class)
             .then(|| started + self.profile.short_bound);
         let checks = [aging, Some(task.request.deadline)];
         checks.into_iter().flatten().filter(|at| *at > now).min()
@@ -85,12 +85,12 @@
         }
     }
 
-    /// Refuses what is still queued at the end of the drain's queue time.
+    /// Refuses the requests that are still queued when the drain's queue time is over.
     fn refuse_queued(&mut self, now: Time) {
         let queues = [Class::Short, Class::Long].map(|class| self.table.queue(class));
         let ids: Vec<RequestId> = queues.iter().flat_map(|q| q.iter()).map(|w| w.id).collect();
         for id in ids {
-            self.withdraw(now, &id, Refusal::Draining);
+            self.refuse_waiting(now, &id, Refusal::Draining);
         }
     }
 }
--- a/crates/admission/src/forecast.rs
+++ b/crates/admission/src/forecast.rs
@@ -1,19 +1,19 @@
 use usher_types::Span;
 
-/// Reported as the wait when the backend server has no slot at all.
+/// Wait that is reported when the backend server has no slots.
 const UNAVAILABLE: Span = Span::from_secs(3_600);
 
-/// When slots are expected to become free, for estimates of waits.
+/// Estimates waits from the times at which the slots become free.
 ///
-/// Queued work is treated as a fluid that fills the slots as they become free, so one slow run
-/// does not make the other slots appear slow.
+/// Uses a fluid model: queued work is spread over the slots as they become free, so one slow run
+/// does not raise the estimate for the other slots.
 #[derive(Debug)]
 pub(crate) struct Forecast {
     /// Remaining running time of each slot, ascending.
     slots: Vec<Span>,
-    /// Queued work that goes first in any case.
+    /// Queued work of another class that is dispatched first.
     ahead: Span,
-    /// Further limit for long work: remaining running time of the slots that it may hold.
+    /// Second limit, for long requests: remaining running time of the slots they may occupy.
     limit: Option<Vec<Span>>,
 }
 
@@ -26,17 +26,17 @@
         }
     }
 
-    pub(crate) fn behind(mut self, ahead: Span) -> Self {
+    pub(crate) fn with_work_ahead(mut self, ahead: Span) -> Self {
         self.ahead = ahead;
         self
     }
 
-    pub(crate) fn limited(mut self, slots: Vec<Span>) -> Self {
+    pub(crate) fn with_limit(mut self, slots: Vec<Span>) -> Self {
         self.limit = Some(slots);
         self
     }
 
-    /// Estimated wait of a request that has `work` in front of it.
+    /// Estimated wait of a request that has `work` queued ahead of it.
     pub(crate) fn wait(&self, work: Span) -> Span {
         let wait = fill(&self.slots, self.ahead + work);
         match &self.limit {
@@ -46,13 +46,13 @@
     }
 }
 
-/// Level to which `work` fills the slots, given the time at which each becomes free.
+/// Time until the slots have absorbed `work`, given when each becomes free.
 fn fill(slots: &[Span], work: Span) -> Span {
-    let mut covered = Span::ZERO;
+    let mut busy_sum = Span::ZERO;
     for (index, free) in slots.iter().enumerate() {
         let count = index as u64 + 1;
-        covered = covered + *free;
-        let level = Span::from_micros((work + covered).as_micros() / count);
+        busy_sum = busy_sum + *free;
+        let level = Span::from_micros((work + busy_sum).as_micros() / count);
         let next = slots.get(index + 1);
         if next.is_none_or(|next| level <= *next) {
             return level;
--- a/crates/admission/src/job.rs
+++ b/crates/admission/src/job.rs
@@ -3,23 +3,23 @@
 use usher_types::{Outcome, Refusal, Time};
 
 use crate::class::Class;
-use crate::task::{Doubt, Task};
+use crate::task::{PossibleRun, Task};
 
-/// A request in one state of its life; transitions consume the value.
+/// A request in the state `S` of its life cycle; transitions consume the value.
 #[derive(Debug)]
 pub(crate) struct Job<S> {
     pub(crate) task: Task,
     pub(crate) state: S,
 }
 
-/// Waits for a slot without leave to be dispatched.
+/// Waits for a slot and has no permission to be dispatched.
 #[derive(Debug)]
 pub(crate) struct Queued {
     /// When the key owner was asked, while its verdict is pending.
     pub(crate) claim: Option<Time>,
 }
 
-/// Waits for a slot and may be dispatched.
+/// Waits for a slot and has permission to be dispatched.
 #[derive(Debug)]
 pub(crate) struct Claimed {
     pub(crate) start_by: Time,
@@ -30,12 +30,12 @@
 pub(crate) struct Dispatched {
     pub(crate) start_by: Time,
     pub(crate) started: Time,
-    /// Next check of the running time; `None` once it is past both limits.
+    /// Next check against the short bound and the deadline; `None` once both have passed.
     pub(crate) check: Option<Time>,
     pub(crate) cancelled: bool,
 }
 
-/// Will not run here; the verdict on its claim decides what the caller is told.
+/// Refused; the verdict on its claim decides which outcome the caller gets.
 #[derive(Debug)]
 pub(crate) struct Refusing {
     pub(crate) refusal: Refusal,
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 pub(crate) struct Delegated;
 
-/// Has an outcome that the peer which offered the request has not acknowledged.
+/// Has an outcome that the offering peer has not acknowledged.
 #[derive(Debug)]
 pub(crate) struct Finished {
     pub(crate) outcome: Outcome,
@@ -62,7 +62,7 @@
 }
 
 impl<S> Job<S> {
-    fn with<T>(self, state: T) -> Job<T> {
+    fn into_state<T>(self, state: T) -> Job<T> {
         Job {
             task: self.task,
             state,
@@ -71,7 +71,7 @@
 
     /// Ends the job; `resend` is when an unacknowledged outcome is sent again.
     pub(crate) fn finish(self, outcome: Outcome, resend: Time) -> Job<Finished> {
-        self.with(Finished {
+        self.into_state(Finished {
             outcome,
             sends: 1,
             resend,
@@ -88,22 +88,22 @@
     }
 
     pub(crate) fn permit(mut self, start_by: Time) -> Job<Claimed> {
-        if self.task.request.once && self.task.doubt == Doubt::Retry {
-            self.task.doubt = Doubt::None;
+        if self.task.request.once && self.task.possible_run == PossibleRun::EarlierAttempt {
+            self.task.possible_run = PossibleRun::None;
         }
         self.task.granted = self.task.request.once;
         let start_by = start_by.min(self.task.request.deadline);
-        self.with(Claimed { start_by })
+        self.into_state(Claimed { start_by })
     }
 
     pub(crate) fn refuse(self, refusal: Refusal) -> Job<Refusing> {
-        self.with(Refusing { refusal })
+        self.into_state(Refusing { refusal })
     }
 
     pub(crate) fn offer(mut self, to: SocketAddrV4, resend: Time) -> Job<Offered> {
         self.task.offers.push(to);
         let sends = 1;
-        self.with(Offered { to, sends, resend })
+        self.into_state(Offered { to, sends, resend })
     }
 }
 
@@ -117,49 +117,49 @@
             check,
             cancelled: false,
         };
-        self.with(state)
+        self.into_state(state)
     }
 
     /// Returns to the queue after the grant expired.
     pub(crate) fn lapse(self) -> Job<Queued> {
-        self.with(Queued { claim: None })
+        self.into_state(Queued { claim: None })
     }
 }
 
 impl Job<Dispatched> {
-    /// The run did not start, so the grant is still unused.
+    /// Returns to the queue, with an unused grant, after a run did not start.
     pub(crate) fn unstarted(self) -> Job<Claimed> {
         let start_by = self.state.start_by;
-        self.with(Claimed { start_by })
+        self.into_state(Claimed { start_by })
     }
 
-    /// The run may have taken place; only a repeatable request gets here.
+    /// Queues a repeatable request again whose run may have taken place.
     pub(crate) fn repeat(mut self, class: Class) -> Job<Queued> {
-        self.task.doubt = Doubt::Copy;
+        self.task.possible_run = PossibleRun::Copy;
         self.task.class = class;
-        self.with(Queued { claim: None })
+        self.into_state(Queued { claim: None })
     }
 }
 
 impl Job<Offered> {
     pub(crate) fn taken(self) -> Job<Delegated> {
-        self.with(Delegated)
+        self.into_state(Delegated)
     }
 
     pub(crate) fn declined(self) -> Job<Queued> {
-        self.with(Queued { claim: None })
+        self.into_state(Queued { claim: None })
     }
 
-    /// The peer may hold a copy.
+    /// Returns to the queue; the peer may hold a copy.
     pub(crate) fn unanswered(mut self) -> Job<Queued> {
-        self.task.doubt = Doubt::Copy;
-        self.with(Queued { claim: None })
+        self.task.possible_run = PossibleRun::Copy;
+        self.into_state(Queued { claim: None })
     }
 }
 
 impl Job<Delegated> {
-    /// The peer no longer holds the request.
+    /// Returns to the queue; the peer no longer holds the request.
     pub(crate) fn returned(self) -> Job<Queued> {
-        self.with(Queued { claim: None })
+        self.into_state(Queued { claim: None })
     }
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,12 +1,13 @@
-//! Scheduling decisions of the agent: classes, slots, deadlines and refusals.
+//! The agent's request scheduler: queues, slots, deadlines, retries, refusals and work sharing.
 //!
-//! The [`Scheduler`] owns a request from its arrival to its outcome. It performs no I/O: it takes
-//! events with the time at which they occurred and returns the actions to be carried out.
+//! The [`Scheduler`] tracks a request from its arrival to its outcome. It performs no I/O: it takes
+//! timestamped events and returns the actions to be carried out.
 
 mod action;
 mod arrival;
 mod claiming;
 mod class;
+mod closed_offers;
 mod counter;
 mod entry;
 mod estimate;
@@ -19,7 +20,6 @@
 mod policy;
 mod queue;
 mod rank;
-mod recent;
 mod running;
 mod runs;
 mod scheduler;
--- a/crates/admission/src/peers.rs
+++ b/crates/admission/src/peers.rs
@@ -2,7 +2,7 @@
 
 use usher_types::Span;
 
-/// Waits of the other agents of the service.
+/// Estimated waits of the other agents of the service.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
     waits: Vec<(SocketAddrV4, Span)>,
@@ -13,7 +13,7 @@
         Self { waits }
     }
 
-    /// The peer with the shortest wait that is not among `tried`.
+    /// The peer with the shortest wait, without the peers in `tried`.
     pub(crate) fn shortest(&self, tried: &[SocketAddrV4]) -> Option<(SocketAddrV4, Span)> {
         let untried = self.waits.iter().filter(|(peer, _)| !tried.contains(peer));
         untried.min_by_key(|(_, wait)| *wait).copied()
--- a/crates/admission/src/policy.rs
+++ b/crates/admission/src/policy.rs
@@ -4,17 +4,17 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum QueueOrder {
-    /// Order of arrival, with a fixed number of places.
+    /// Order of arrival, in a queue of fixed length.
     Fifo {
         /// Requests that may wait at the same time.
         length: usize,
     },
-    /// Earliest deadline first, bounded by time.
+    /// Earliest deadline first; the queue is limited by the estimated wait.
     #[default]
     Deadline,
 }
 
-/// Selects the parts of the scheduler that are in use, so that alternatives can be compared.
+/// Switches for parts of the scheduler, so that alternatives can be compared.
 ///
 /// ```
 /// let policy = usher_admission::Policy::default();
@@ -29,16 +29,18 @@
 pub struct Policy {
     /// Order within a class.
     pub order: QueueOrder,
-    /// Short and long work wait in separate queues.
+    /// Short and long requests wait in separate queues.
     pub classes: bool,
-    /// Long work leaves one slot to short work.
+    /// Long requests leave one slot to short requests.
     pub reservation: bool,
     /// Requests that cannot finish before their deadline are refused on arrival.
     pub refusal: bool,
-    /// Queued work of lower priority makes room for work of higher priority.
+    /// Queued requests of lower priority are shed for requests of higher priority.
     pub shedding: bool,
-    /// Share of the time to its deadline, in percent, within which a request must be expected to end
-    /// to be queued. The rest covers wrong estimates and the way back to the caller.
+    /// Admission limit, in percent of the time to the deadline.
+    ///
+    /// A request is queued only if it is expected to finish within this limit. The rest covers
+    /// wrong estimates and the way back to the caller.
     pub horizon: u8,
     /// Queued requests are offered to peers with a shorter wait.
     pub offers: bool,
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -14,13 +14,13 @@
     Claiming,
 }
 
-/// What the queue knows of a request.
+/// A request as seen by the queue.
 #[derive(Debug, Clone)]
 pub(crate) struct Waiting {
     pub(crate) id: RequestId,
     pub(crate) cost: Span,
-    pub(crate) latest: Time,
-    pub(crate) goal: Time,
+    pub(crate) latest_start: Time,
+    pub(crate) finish_by: Time,
     pub(crate) priority: Priority,
     pub(crate) readiness: Readiness,
     pub(crate) offerable: bool,
@@ -49,7 +49,7 @@
         self.order.len()
     }
 
-    /// Sum of the estimated service times.
+    /// Sum of the estimated service times of all requests.
     pub(crate) fn work(&self) -> Span {
         self.work
     }
@@ -63,15 +63,15 @@
         self.iter().find(|w| w.readiness == Readiness::Ready)
     }
 
-    /// Estimated service times of the requests that go before `rank`.
+    /// Sum of the estimated service times of the requests ahead of `rank`.
     pub(crate) fn work_before(&self, rank: Rank) -> Span {
         sum(self.order.range(..rank).map(|(_, w)| w.cost))
     }
 
-    /// Requests that must be shed so that `task` and all behind it meet their deadlines.
+    /// Requests to shed so that `task` and all requests behind it finish in time.
     ///
-    /// `None` when work of lower priority does not suffice.
-    pub(crate) fn make_room(
+    /// `None` if shedding all requests of lower priority is not enough.
+    pub(crate) fn requests_to_shed(
         &self,
         now: Time,
         task: &Task,
@@ -89,7 +89,7 @@
         Some(shed.iter().map(|rank| self.order[rank].id).collect())
     }
 
-    /// The first request that would miss its deadline because of `task`, or `task` itself.
+    /// The first request that would finish too late because of `task`, or `task` itself.
     fn first_missed(
         &self,
         now: Time,
@@ -100,11 +100,11 @@
         let kept = |rank: &Rank| !shed.contains(rank);
         let before = self.order.range(..task.rank);
         let mut ahead = sum(before.filter(|(r, _)| kept(r)).map(|(_, w)| w.cost));
-        if forecast.wait(ahead) + task.cost > task.room(now) {
+        if forecast.wait(ahead) + task.cost > task.time_available(now) {
             return Some(task.rank);
         }
         for (rank, waiting) in self.order.range(task.rank..).filter(|(r, _)| kept(r)) {
-            let left = waiting.goal.since(now);
+            let left = waiting.finish_by.since(now);
             let met = forecast.wait(ahead) + waiting.cost <= left;
             if met && forecast.wait(ahead + task.cost) + waiting.cost > left {
                 return Some(*rank);
--- a/crates/admission/src/running.rs
+++ b/crates/admission/src/running.rs
@@ -1,4 +1,4 @@
-//! Dispatch and the results of runs.
+//! Dispatch, the results of runs, retries and cancellation.
 
 use usher_types::{Outcome, Refusal, RequestId, Span, Time};
 
@@ -7,14 +7,14 @@
 use crate::job::{Claimed, Dispatched, Job};
 use crate::queue::Waiting;
 use crate::runs::Run;
-use crate::task::{Caller, Task};
+use crate::task::{Recipient, Task};
 use crate::{Action, Counter, Scheduler};
 
-// Pause after the backend server refused a run; doubles while it continues to refuse.
+// Pause in dispatch after the backend server refused a run; doubled on each further refusal.
 const MIN_BACKOFF: Span = Span::from_millis(5);
 const MAX_BACKOFF: Span = Span::from_millis(160);
 
-/// How a run ended, for the host's estimates.
+/// How a run ended, for the service time estimates and the capacity measurement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Ending {
     Success,
@@ -24,10 +24,10 @@
 impl Scheduler {
     /// Dispatches ready requests while slots are free.
     pub(crate) fn dispatch_ready(&mut self, now: Time) {
-        if self.pause.is_some_and(|until| now < until) {
+        if self.paused_until.is_some_and(|until| now < until) {
             return;
         }
-        self.pause = None;
+        self.paused_until = None;
         while let Some(id) = self.next_ready(now) {
             match self.table.take(&id) {
                 Some(Entry::Claimed(job)) => self.dispatch(now, job),
@@ -41,15 +41,17 @@
         }
     }
 
-    /// Short work goes first. Long work goes first when it would otherwise miss its deadline and
-    /// holds no slot, so that a steady load of short work cannot shut it out.
+    /// Selects the next request to dispatch; short requests go first.
+    ///
+    /// A long request goes first when it would otherwise miss its deadline and no long request
+    /// runs, so that a steady load of short requests cannot starve the long ones.
     fn next_ready(&self, now: Time) -> Option<RequestId> {
         if !self.runs.has_free() {
             return None;
         }
         let long_runs = self.runs.long();
         let admits_long = long_runs < self.long_limit();
-        let urgent = |w: &Waiting| w.latest <= now + self.profile.short_bound;
+        let urgent = |w: &Waiting| w.latest_start <= now + self.profile.short_bound;
         let long = self.table.queue(Class::Long).first_ready();
         let long = long.filter(|_| admits_long);
         let short = self.table.queue(Class::Short).first_ready();
@@ -97,7 +99,7 @@
         self.end_run(now, &job.task, ending);
         self.backoff = Span::ZERO;
         self.retries.on_success(self.profile.retries);
-        // A dispatched request is never reported as "not run" through this event.
+        // A response to a dispatched request is never reported as "not run".
         let outcome = match outcome {
             Outcome::NotRun { .. } => Outcome::Unknown,
             outcome => outcome,
@@ -119,7 +121,7 @@
         } else if self.may_retry(&job.task) {
             let class = job.task.class;
             let mut job = job.repeat(class);
-            job.task.limit_start(now, self.policy.refusal);
+            job.task.set_latest_start(now, self.policy.refusal);
             self.table.insert(Entry::Queued(job));
         } else {
             self.finish(now, job, Outcome::Unknown);
@@ -132,7 +134,7 @@
         };
         self.end_run(now, &job.task, Ending::Failure);
         self.backoff = (self.backoff * 2).clamp(MIN_BACKOFF, MAX_BACKOFF);
-        self.pause = Some(now + self.backoff);
+        self.paused_until = Some(now + self.backoff);
         let cancelled = job.state.cancelled;
         let job = job.unstarted();
         if cancelled {
@@ -157,8 +159,10 @@
         allowed
     }
 
-    /// Frees the slot and records the run. A failure is charged at least the estimated service
-    /// time and is not a sample of it, so failing fast does not make a host appear strong.
+    /// Frees the slot and records the run.
+    ///
+    /// A failed run counts with at least the estimated service time and does not change the
+    /// estimate, so a host that fails fast does not get a higher weight.
     fn end_run(&mut self, now: Time, task: &Task, ending: Ending) {
         let Some(run) = self.runs.end(&task.id()) else {
             return;
@@ -177,7 +181,7 @@
     fn complete(&mut self, task: &Task, outcome: Outcome) {
         if task.request.once {
             let key = task.request.key;
-            // A release sent later would void this report.
+            // A release that is sent later would override this report.
             self.releases.retain(|_, released| *released != key);
             self.out.push(Action::Complete { key, outcome });
         }
@@ -193,16 +197,16 @@
         None
     }
 
-    /// Ends one caller's interest; the request ends with its last caller.
+    /// Removes one recipient; cancels the request itself for its last recipient.
     pub(crate) fn cancel(&mut self, now: Time, id: RequestId) {
         let held = self.table.resolve(id);
         let Some(mut entry) = self.table.take(&held) else {
             return self.count(Counter::Stale);
         };
-        let caller = Caller::Local(id);
-        let callers = &mut entry.task_mut().callers;
-        if callers.len() > 1 && callers.contains(&caller) {
-            callers.retain(|c| *c != caller);
+        let recipient = Recipient::Local(id);
+        let recipients = &mut entry.task_mut().recipients;
+        if recipients.len() > 1 && recipients.contains(&recipient) {
+            recipients.retain(|c| *c != recipient);
             self.table.unalias_id(&id);
             let outcome = Outcome::Unknown;
             self.out.push(Action::Reply { id, outcome });
--- a/crates/admission/src/runs.rs
+++ b/crates/admission/src/runs.rs
@@ -10,20 +10,21 @@
     pub(crate) started: Time,
     pub(crate) cost: Span,
     pub(crate) class: Class,
-    /// The run counts towards the host's weight.
+    /// Whether the run counts towards the host's weight.
     pub(crate) metered: bool,
 }
 
 impl Run {
-    /// Estimated remaining time; past its estimate a run is expected to last as long again as
-    /// it has exceeded it.
+    /// Estimated remaining time.
+    ///
+    /// A run that exceeds its estimate is expected to last as long again as the excess.
     fn remaining(&self, now: Time) -> Span {
         let elapsed = now.since(self.started);
         (self.cost - elapsed) + (elapsed - self.cost)
     }
 }
 
-/// The slots of the backend server.
+/// The slots of the backend server and the requests that occupy them.
 #[derive(Debug)]
 pub(crate) struct Runs {
     pub(crate) slots: Slots,
@@ -46,7 +47,7 @@
         self.runs.remove(id)
     }
 
-    /// Counts a run as long from now on.
+    /// Moves a run to the long class.
     pub(crate) fn age(&mut self, id: &RequestId) {
         if let Some(run) = self.runs.get_mut(id) {
             run.class = Class::Long;
@@ -57,7 +58,7 @@
         self.runs.len() < usize::from(self.slots.get())
     }
 
-    /// Number of slots that long work holds.
+    /// Number of slots that long requests occupy.
     pub(crate) fn long(&self) -> usize {
         self.runs
             .values()
@@ -68,19 +69,21 @@
     /// Remaining times of all slots, ascending; zero for a free slot.
     pub(crate) fn remaining(&self, now: Time) -> Vec<Span> {
         let times = self.runs.values().map(|run| run.remaining(now));
-        occupy(times.collect(), usize::from(self.slots.get()))
+        slot_times(times.collect(), usize::from(self.slots.get()))
     }
 
-    /// Remaining times of the slots that long work may hold.
+    /// Remaining times of the slots that long requests may occupy, ascending.
     pub(crate) fn remaining_long(&self, now: Time, limit: usize) -> Vec<Span> {
         let long = self.runs.values().filter(|r| r.class == Class::Long);
-        occupy(long.map(|run| run.remaining(now)).collect(), limit)
+        slot_times(long.map(|run| run.remaining(now)).collect(), limit)
     }
 }
 
-/// Distributes runs over slots. Surplus runs, left over after the number of slots fell, end
+/// Pads the remaining times of the runs to one per slot, ascending.
+///
+/// If there are more runs than slots, because the number of slots fell, the surplus runs end
 /// before a slot becomes free, so the shortest ones are left out.
-fn occupy(mut times: Vec<Span>, slots: usize) -> Vec<Span> {
+fn slot_times(mut times: Vec<Span>, slots: usize) -> Vec<Span> {
     let surplus = times.len().saturating_sub(slots);
     times.resize(times.len().max(slots), Span::ZERO);
     times.sort_unstable();
--- a/crates/admission/src/scheduler.rs
+++ b/crates/admission/src/scheduler.rs
@@ -5,24 +5,24 @@
 use usher_types::{Profile, RequestId, RequestKey, RetryBudget, Slots, Span, Time, Weight};
 
 use crate::class::Class;
+use crate::closed_offers::ClosedOffers;
 use crate::estimate::Estimates;
 use crate::forecast::Forecast;
 use crate::meter::Meter;
 use crate::peers::Peers;
-use crate::recent::Recent;
 use crate::runs::Runs;
 use crate::table::Table;
 use crate::{Action, Counter, Event, Policy};
 
-// Round trip of a claim that is assumed until one has been measured.
-const CLAIM_LEAD: Span = Span::from_millis(5);
-// Callers' default deadline; P6 allows a few seconds of queued work during a drain.
-const DRAIN_QUEUE: Span = Span::from_secs(2);
+// Claim lead until the round trip of a claim has been measured.
+const INITIAL_CLAIM_LEAD: Span = Span::from_millis(5);
+// The callers' default deadline; a drain may spend a few seconds on queued requests.
+const DRAIN_QUEUE_TIME: Span = Span::from_secs(2);
 
-/// Decides when and where the requests of one host run.
+/// Decides when and where the requests of a host run.
 ///
-/// It owns each request from its arrival to its outcome. `handle` takes an event and returns the
-/// actions that follow from it; `next_timer` says when `Event::Tick` is wanted.
+/// It tracks each request from its arrival to its outcome. `handle` takes an event and returns the
+/// resulting actions; `next_timer` returns when `Event::Tick` is due.
 #[derive(Debug)]
 pub struct Scheduler {
     pub(crate) profile: Arc<Profile>,
@@ -34,24 +34,25 @@
     pub(crate) meter: Meter,
     pub(crate) retries: RetryBudget,
     pub(crate) peers: Peers,
-    pub(crate) recent: Recent,
-    /// Keys of requests that ended while the verdict on their claim was pending.
+    pub(crate) closed_offers: ClosedOffers,
+    /// Keys of ended requests with a pending claim; a later grant is released.
     pub(crate) releases: HashMap<RequestId, RequestKey>,
-    /// How long before a slot is expected to be free a claim is sent.
+    /// How long before its slot is expected to be free a claim is sent.
     pub(crate) claim_lead: Span,
-    pub(crate) claim_wake: Option<Time>,
-    /// No dispatch before this time, after the backend server refused one.
-    pub(crate) pause: Option<Time>,
+    /// When the next claim is due.
+    pub(crate) claim_timer: Option<Time>,
+    /// End of the pause in dispatch after the backend server refused a run.
+    pub(crate) paused_until: Option<Time>,
     pub(crate) backoff: Span,
     pub(crate) sequence: u64,
-    /// End of the time in which queued requests may still be dispatched during a drain.
+    /// During a drain, the time until which queued requests may be dispatched.
     pub(crate) draining: Option<Time>,
     drained: bool,
     pub(crate) out: Vec<Action>,
 }
 
 impl Scheduler {
-    /// A scheduler without requests; `address` is where peers send replies to its offers.
+    /// Creates a scheduler without requests; peers send replies to its offers to `address`.
     ///
     /// ```
     /// use std::sync::Arc;
@@ -74,11 +75,11 @@
             meter: Meter::default(),
             retries: RetryBudget::default(),
             peers: Peers::default(),
-            recent: Recent::default(),
+            closed_offers: ClosedOffers::default(),
             releases: HashMap::new(),
-            claim_lead: CLAIM_LEAD,
-            claim_wake: None,
-            pause: None,
+            claim_lead: INITIAL_CLAIM_LEAD,
+            claim_timer: None,
+            paused_until: None,
             backoff: Span::ZERO,
             sequence: 0,
             draining: None,
@@ -87,9 +88,9 @@
         }
     }
 
-    /// Applies an event and returns the actions that follow from it, in order.
+    /// Handles an event and returns the resulting actions in order.
     ///
-    /// Timers that are due are applied first.
+    /// Timers that are due are handled first.
     ///
     /// ```
     /// use std::sync::Arc;
@@ -107,7 +108,7 @@
         self.apply(now, event);
         self.dispatch_ready(now);
         self.share(now);
-        self.ask_claims(now);
+        self.send_claims(now);
         self.check_drained();
         std::mem::take(&mut self.out)
     }
@@ -130,13 +131,13 @@
             Event::Profile(profile) => self.profile = profile,
             Event::Slots(slots) => self.runs.slots = slots,
             Event::Drain => {
-                self.draining.get_or_insert(now + DRAIN_QUEUE);
+                self.draining.get_or_insert(now + DRAIN_QUEUE_TIME);
             }
             Event::Tick => {}
         }
     }
 
-    /// When `Event::Tick` is wanted if no other event occurs.
+    /// When `Event::Tick` is due if no other event occurs.
     ///
     /// ```
     /// use std::sync::Arc;
@@ -153,8 +154,8 @@
         let timers = [
             self.table.next_timer(),
             self.meter.next_timer(),
-            self.claim_wake,
-            self.pause.filter(|_| waiting),
+            self.claim_timer,
+            self.paused_until.filter(|_| waiting),
             self.draining.filter(|_| waiting),
         ];
         timers.into_iter().flatten().min()
@@ -176,7 +177,7 @@
         self.class_wait(now, Class::Short)
     }
 
-    /// Measured strength of the backend server, reduced during a cold start.
+    /// Weight from the measured capacity of the backend server, reduced during a cold start.
     ///
     /// ```
     /// use std::sync::Arc;
@@ -204,10 +205,10 @@
         }
         let long = self.runs.remaining_long(now, self.long_limit());
         let short = self.table.queue(Class::Short).work();
-        forecast.behind(short).limited(long)
+        forecast.with_work_ahead(short).with_limit(long)
     }
 
-    /// Slots that long work may hold.
+    /// Number of slots that long requests may occupy.
     pub(crate) fn long_limit(&self) -> usize {
         let slots = usize::from(self.runs.slots.get());
         if self.policy.reservation {
--- a/crates/admission/src/sharing.rs
+++ b/crates/admission/src/sharing.rs
@@ -1,4 +1,4 @@
-//! Offers of queued requests to peers, and requests taken from them.
+//! Work sharing: offers of queued requests to peers, and requests taken from peers.
 
 use std::net::SocketAddrV4;
 
@@ -9,19 +9,20 @@
 use crate::class::Class;
 use crate::entry::Entry;
 use crate::job::{Finished, Job, Offered, Queued};
-use crate::task::{Caller, Doubt, Task};
+use crate::task::{PossibleRun, Recipient, Task};
 use crate::{Action, Counter, Scheduler};
 
-const MAX_SENDS: u8 = 3;
-const MAX_REPORTS: u8 = 20;
-// Requests examined at the end of each queue.
+// Transmissions of an offer or an outcome before it is given up.
+const MAX_OFFER_SENDS: u8 = 3;
+const MAX_OUTCOME_SENDS: u8 = 20;
+// Requests at the end of each queue that are considered for an offer.
 const OFFER_DEPTH: usize = 8;
 
 impl Scheduler {
     /// Time after which an offer or an outcome is sent again.
-    pub(crate) const RESEND: Span = Span::from_millis(20);
+    pub(crate) const RESEND_INTERVAL: Span = Span::from_millis(20);
 
-    /// Offers requests from the end of the queues while a peer's wait is much shorter.
+    /// Offers requests from the ends of the queues to peers with much shorter waits.
     pub(crate) fn share(&mut self, now: Time) {
         if !self.policy.offers {
             return;
@@ -53,21 +54,21 @@
             let Some((peer, wait)) = self.peers.shortest(&task.offers) else {
                 continue;
             };
-            let worth = forecast.wait(ahead) > wait + self.profile.hunt;
-            if worth || self.draining.is_some() {
+            let worthwhile = forecast.wait(ahead) > wait + self.profile.hunt;
+            if worthwhile || self.draining.is_some() {
                 return Some((waiting.id, peer));
             }
         }
         None
     }
 
-    /// A peer where a request that must be refused here can meet its deadline.
+    /// A peer where a request that cannot be queued here can finish in time.
     pub(crate) fn faster_peer(&self, now: Time, task: &Task) -> Option<SocketAddrV4> {
         if !self.policy.offers || !task.is_offerable() {
             return None;
         }
         let (peer, wait) = self.peers.shortest(&task.offers)?;
-        let in_time = wait + task.cost <= task.room(now);
+        let in_time = wait + task.cost <= task.time_available(now);
         let shorter = wait + self.profile.hunt < self.class_wait(now, task.class);
         (in_time && shorter).then_some(peer)
     }
@@ -76,7 +77,7 @@
         let slots = f64::from(self.runs.slots.get().max(1));
         self.peers.add(peer, job.task.cost.scale(1.0 / slots));
         self.count(Counter::Offered);
-        let job = job.offer(peer, now + Self::RESEND);
+        let job = job.offer(peer, now + Self::RESEND_INTERVAL);
         self.send_offer(now, &job);
         self.table.insert(Entry::Offered(job));
     }
@@ -107,15 +108,15 @@
         self.out.push(Action::Offer { to, offer });
     }
 
-    /// Sends an offer again; after the last time the request is queued here.
+    /// Sends an offer again; after the last transmission, queues or refuses the request here.
     pub(crate) fn resend_offer(&mut self, now: Time, mut job: Job<Offered>) {
-        if job.state.sends >= MAX_SENDS || job.task.request.deadline <= now {
+        if job.state.sends >= MAX_OFFER_SENDS || job.task.request.deadline <= now {
             self.count(Counter::OfferLost);
-            self.place(now, job.unanswered());
+            self.queue_or_refuse(now, job.unanswered());
             return;
         }
         job.state.sends += 1;
-        job.state.resend = now + Self::RESEND;
+        job.state.resend = now + Self::RESEND_INTERVAL;
         self.send_offer(now, &job);
         self.table.insert(Entry::Offered(job));
     }
@@ -128,7 +129,7 @@
                     self.count(Counter::Delegated);
                     self.table.insert(Entry::Delegated(job.taken()));
                 } else {
-                    self.place(now, job.declined());
+                    self.queue_or_refuse(now, job.declined());
                 }
             }
             Some(entry) => {
@@ -163,40 +164,42 @@
         }
     }
 
-    /// A peer's "not run" covers its own copy; an earlier attempt is resolved here.
+    /// Ends a request with the outcome from a peer.
+    ///
+    /// A peer's "not run" applies to its own copy only; earlier attempts are resolved here.
     fn end_delegated(&mut self, now: Time, job: Job<Queued>, outcome: Outcome) {
         match outcome {
-            Outcome::NotRun { refusal, .. } if job.task.doubt > Doubt::None => {
+            Outcome::NotRun { refusal, .. } if job.task.possible_run > PossibleRun::None => {
                 self.refuse(now, job, refusal);
             }
             outcome => self.finish(now, job, outcome),
         }
     }
 
-    /// Takes an offered request if it can run here sooner, without shedding other work.
+    /// Takes an offered request if it can run here sooner, without shedding other requests.
     pub(crate) fn offered(&mut self, now: Time, offer: Offer) {
-        let (id, to, there) = (offer.id, offer.reply, offer.wait);
-        let held = self.table.get(&id).map(|entry| &entry.task().callers);
-        if held.is_some_and(|callers| callers.contains(&Caller::Peer(to))) {
+        let (id, to, peer_wait) = (offer.id, offer.reply, offer.wait);
+        let held = self.table.get(&id).map(|entry| &entry.task().recipients);
+        if held.is_some_and(|recipients| recipients.contains(&Recipient::Peer(to))) {
             return self.reply_offer(now, to, id, true);
         }
         let known = held.is_some() || self.table.holder(offer.key).is_some();
-        let repeated = known || self.recent.contains(&id);
-        let task = self.task(now, request(now, offer), Caller::Peer(to));
-        let taken = !repeated && self.draining.is_none() && self.accepts(now, &task, there);
+        let repeated = known || self.closed_offers.contains(&id);
+        let task = self.task(now, request(now, offer), Recipient::Peer(to));
+        let taken = !repeated && self.draining.is_none() && self.accepts(now, &task, peer_wait);
         if taken {
             self.table.insert(Entry::Queued(Job::new(task)));
         } else {
-            self.recent.add(now, id);
+            self.closed_offers.add(now, id);
         }
         self.reply_offer(now, to, id, taken);
     }
 
-    fn accepts(&self, now: Time, task: &Task, there: Span) -> bool {
-        let sooner = self.class_wait(now, task.class) < there;
+    fn accepts(&self, now: Time, task: &Task, peer_wait: Span) -> bool {
+        let sooner = self.class_wait(now, task.class) < peer_wait;
         let budget = task.request.budget.get() > 0;
-        let room = self.admit(now, task).is_some_and(|shed| shed.is_empty());
-        sooner && budget && room
+        let admitted = self.admit(now, task).is_some_and(|shed| shed.is_empty());
+        sooner && budget && admitted
     }
 
     fn reply_offer(&mut self, now: Time, to: SocketAddrV4, id: RequestId, taken: bool) {
@@ -211,25 +214,25 @@
         self.out.push(Action::OfferOutcome { to, outcome });
     }
 
-    /// Reports an outcome again; after the last time the offering agent is taken for lost.
+    /// Reports an outcome again; after the last report, the offering agent is assumed lost.
     pub(crate) fn resend_outcome(&mut self, now: Time, mut job: Job<Finished>) {
         let id = job.task.id();
-        if job.state.sends >= MAX_REPORTS {
-            return self.recent.add(now, id);
+        if job.state.sends >= MAX_OUTCOME_SENDS {
+            return self.closed_offers.add(now, id);
         }
-        for caller in &job.task.callers {
-            if let Caller::Peer(to) = *caller {
+        for recipient in &job.task.recipients {
+            if let Recipient::Peer(to) = *recipient {
                 self.report(to, id, job.state.outcome.clone());
             }
         }
         job.state.sends += 1;
-        job.state.resend = now + Self::RESEND * u64::from(job.state.sends);
+        job.state.resend = now + Self::RESEND_INTERVAL * u64::from(job.state.sends);
         self.table.insert(Entry::Finished(job));
     }
 
     pub(crate) fn offer_done(&mut self, now: Time, id: RequestId) {
         match self.table.take(&id) {
-            Some(Entry::Finished(_)) => self.recent.add(now, id),
+            Some(Entry::Finished(_)) => self.closed_offers.add(now, id),
             Some(entry) => self.table.insert(entry),
             None => {}
         }
@@ -240,7 +243,7 @@
     matches!(outcome, Outcome::Answered(_) | Outcome::Failed(_))
 }
 
-/// The offered request on this agent's clock.
+/// Converts an offer to a request, with the deadline on this agent's clock.
 fn request(now: Time, offer: Offer) -> Request {
     Request {
         id: offer.id,
--- a/crates/admission/src/table.rs
+++ b/crates/admission/src/table.rs
@@ -5,14 +5,14 @@
 use crate::class::Class;
 use crate::entry::Entry;
 use crate::queue::Queue;
-use crate::task::{Caller, Task};
+use crate::task::{Recipient, Task};
 
-/// All requests that the agent holds, with their queues and timers.
+/// All requests that the scheduler holds, with their queues and timers.
 #[derive(Debug, Default)]
 pub(crate) struct Table {
     entries: HashMap<RequestId, Entry>,
     keys: HashMap<RequestKey, RequestId>,
-    /// Ids of duplicates by the id of the request that they joined.
+    /// Maps ids of duplicates to the ids of the requests that they are attached to.
     aliases: HashMap<RequestId, RequestId>,
     timers: BTreeSet<(Time, RequestId)>,
     short: Queue,
@@ -55,7 +55,7 @@
         self.entries.get(id)
     }
 
-    /// The request that holds a key.
+    /// The unfinished request with this key.
     pub(crate) fn holder(&self, key: RequestKey) -> Option<RequestId> {
         self.keys.get(&key).copied()
     }
@@ -65,8 +65,8 @@
     }
 
     pub(crate) fn unalias(&mut self, task: &Task) {
-        for caller in &task.callers {
-            if let Caller::Local(id) = caller {
+        for recipient in &task.recipients {
+            if let Recipient::Local(id) = recipient {
                 self.aliases.remove(id);
             }
         }
@@ -106,7 +106,7 @@
         self.timers.first().map(|(due, _)| *due)
     }
 
-    /// The request whose timer is due first.
+    /// The request with the earliest timer, if that timer is due.
     pub(crate) fn first_due(&self, now: Time) -> Option<RequestId> {
         let (due, id) = self.timers.first()?;
         (*due <= now).then_some(*id)
--- a/crates/admission/src/task.rs
+++ b/crates/admission/src/task.rs
@@ -7,21 +7,23 @@
 
 /// Who receives the outcome of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Caller {
+pub(crate) enum Recipient {
     /// The caller of a flow that this agent holds.
     Local(RequestId),
     /// The agent that offered the request.
     Peer(SocketAddrV4),
 }
 
-/// Why "not run" might be false although this agent holds the request undispatched.
+/// Whether a request that this agent has not dispatched may have run elsewhere.
+///
+/// If so, it must not be reported as "not run".
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Doubt {
-    /// Nothing speaks against it.
+pub(crate) enum PossibleRun {
+    /// It has not run.
     None,
-    /// An earlier attempt may have run; a grant of the key disproves it.
-    Retry,
-    /// Another copy may run or may have run, whatever the key owner says.
+    /// An earlier attempt may have run; a grant of its key rules that out.
+    EarlierAttempt,
+    /// Another copy may run or have run, even if the key is granted.
     Copy,
 }
 
@@ -29,24 +31,24 @@
 #[derive(Debug)]
 pub(crate) struct Task {
     pub(crate) request: Request,
-    pub(crate) callers: Vec<Caller>,
+    pub(crate) recipients: Vec<Recipient>,
     pub(crate) arrived: Time,
     pub(crate) class: Class,
     /// Estimated service time.
     pub(crate) cost: Span,
     /// Latest time at which a dispatch can meet the deadline.
-    pub(crate) latest: Time,
-    /// Time by which the request must be expected to end to be queued.
-    pub(crate) goal: Time,
+    pub(crate) latest_start: Time,
+    /// Admission limit: a request that is expected to end later is not queued.
+    pub(crate) finish_by: Time,
     pub(crate) rank: Rank,
-    pub(crate) doubt: Doubt,
-    /// The key owner has granted the key to this agent.
+    pub(crate) possible_run: PossibleRun,
+    /// Whether the key owner has granted the key to this agent.
     pub(crate) granted: bool,
     /// Peers that the request was offered to.
     pub(crate) offers: Vec<SocketAddrV4>,
 }
 
-// Two offers cost at most two round trips; more would use up short deadlines.
+// Each offer costs up to a round trip; more than two would use up short deadlines.
 const MAX_OFFERS: usize = 2;
 
 impl Task {
@@ -59,25 +61,30 @@
         self.request.deadline.since(now)
     }
 
-    /// Time left until the goal.
-    pub(crate) fn room(&self, now: Time) -> Span {
-        self.goal.since(now)
+    /// Time left until the admission limit.
+    pub(crate) fn time_available(&self, now: Time) -> Span {
+        self.finish_by.since(now)
     }
 
-    /// A request taken from a peer stays here, so that offers cannot form a cycle.
+    /// Whether the request may be offered to a peer.
+    ///
+    /// A request taken from a peer is not offered on, so that offers cannot form a cycle.
     pub(crate) fn is_offerable(&self) -> bool {
-        let local = self.callers.iter().all(|c| matches!(c, Caller::Local(_)));
-        local && self.doubt < Doubt::Copy && self.offers.len() < MAX_OFFERS
+        let local = self
+            .recipients
+            .iter()
+            .all(|c| matches!(c, Recipient::Local(_)));
+        local && self.possible_run < PossibleRun::Copy && self.offers.len() < MAX_OFFERS
     }
 
-    /// Sets the latest dispatch from the deadline and the estimated service time.
+    /// Sets the latest start from the deadline and the estimated service time.
     ///
-    /// When the estimate exceeds the time left, the deadline itself counts: a request that finds
-    /// an idle slot runs, so that a wrong estimate is corrected.
-    pub(crate) fn limit_start(&mut self, now: Time, refusal: bool) {
-        let latest = self.request.deadline - self.cost;
-        self.latest = if refusal && latest > now {
-            latest
+    /// If the estimate exceeds the time left, the latest start is the deadline: the request still
+    /// runs if a slot is idle, so that a wrong estimate is corrected.
+    pub(crate) fn set_latest_start(&mut self, now: Time, refusal: bool) {
+        let latest_start = self.request.deadline - self.cost;
+        self.latest_start = if refusal && latest_start > now {
+            latest_start
         } else {
             self.request.deadline
         };
--- a/crates/admission/tests/admission/common.rs
+++ b/crates/admission/tests/admission/common.rs
@@ -1,4 +1,4 @@
-//! Values that the tests share.
+//! Addresses, request ids and outcomes used by all tests.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
--- a/crates/admission/tests/admission/faults.rs
+++ b/crates/admission/tests/admission/faults.rs
@@ -1,4 +1,4 @@
-//! Runs the rows of `data/faults.json`; each row names the failure that it guards against.
+//! Runs the rows of `data/faults.json`: events with the actions expected after each.
 
 use std::sync::Arc;
 
@@ -11,19 +11,21 @@
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Row {
+    /// The failure that this row guards against.
     guards: String,
     slots: u16,
     #[serde(default)]
     policy: Policy,
     #[serde(default)]
     profile: Profile,
+    /// Time in milliseconds, event, expected actions.
     steps: Vec<(u64, String, Vec<String>)>,
 }
 
 fn run(row: Row) {
-    let own = common::peer(common::OWN_PORT);
+    let own_address = common::peer(common::OWN_PORT);
     let profile = Arc::new(row.profile);
-    let mut scheduler = Scheduler::new(profile, Slots::new(row.slots), row.policy, own);
+    let mut scheduler = Scheduler::new(profile, Slots::new(row.slots), row.policy, own_address);
     for (millis, event, expected) in row.steps {
         let actions = scheduler.handle(text::at(millis), text::event(&event));
         let actions: Vec<_> = actions.iter().filter_map(text::action_text).collect();
--- a/crates/admission/tests/admission/main.rs
+++ b/crates/admission/tests/admission/main.rs
@@ -1,8 +1,8 @@
-//! Contract tests of the scheduler, against tables in `tests/data` and against properties.
+//! Tests of the scheduler's public interface: tables in `tests/data`, and properties.
 
 mod common;
 mod faults;
 mod properties;
-mod strength;
 mod text;
+mod weight;
 mod world;
--- a/crates/admission/tests/admission/properties.rs
+++ b/crates/admission/tests/admission/properties.rs
@@ -1,4 +1,4 @@
-//! Properties that hold for every interleaving of callers, key owner, backend server and peers.
+//! Properties that hold for all interleavings of callers, key owner, backend server and peers.
 
 use proptest::prelude::*;
 use usher_admission::{Policy, QueueOrder};
@@ -21,7 +21,7 @@
             method, left, priority, retry, ran: retry && ran
         }),
         1 => which().prop_map(Step::Repeat),
-        2 => (which(), 1_u64..600).prop_map(|(which, left)| Step::Twin { which, left }),
+        2 => (which(), 1_u64..600).prop_map(|(which, left)| Step::NewAttempt { which, left }),
         5 => (which(), 0_u8..8).prop_map(|(which, kind)| Step::Verdict { which, kind }),
         6 => (which(), 0_u8..8).prop_map(|(which, kind)| Step::Run { which, kind }),
         1 => which().prop_map(Step::Cancel),
@@ -41,9 +41,9 @@
         3 => Just(QueueOrder::Deadline),
         1 => (1_usize..6).prop_map(|length| QueueOrder::Fifo { length }),
     ];
-    let on = || prop::bool::weighted(0.8);
+    let enabled = || prop::bool::weighted(0.8);
     let horizon = prop_oneof![Just(50), 1..=100_u8];
-    (order, on(), on(), on(), on(), horizon).prop_map(
+    (order, enabled(), enabled(), enabled(), enabled(), horizon).prop_map(
         |(order, refusal, shedding, offers, classes, horizon)| Policy {
             horizon,
             order,
@@ -59,9 +59,11 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(512))]
 
-    /// Guards against a false "not run", a second run of a once request, a lost or second
-    /// outcome, an exceeded slot count, long work in the last slot, and a drain that admits work
-    /// or does not end. The checks are in `World`.
+    /// Guards against violations of the scheduler's invariants, which `World` checks.
+    ///
+    /// These are: a false "not run", a second run of a once request, a lost or second outcome,
+    /// more runs than slots, long requests in the last slot, and a drain that admits requests or
+    /// does not end.
     #[test]
     fn invariants_hold(
         policy in policy(),
@@ -70,11 +72,11 @@
     ) {
         let mut world = World::new(policy);
         for step in before {
-            world.take(step);
+            world.apply(step);
         }
         world.drain();
         for step in during {
-            world.take(step);
+            world.apply(step);
         }
         world.settle();
     }
--- a/crates/admission/tests/admission/text.rs
+++ b/crates/admission/tests/admission/text.rs
@@ -1,4 +1,4 @@
-//! Requests, events and actions in a short text form, for tables and failure messages.
+//! Short text form of requests, events and actions, for tables and failure messages.
 
 use std::collections::HashMap;
 
@@ -14,7 +14,7 @@
     Time::ZERO + Span::from_millis(millis)
 }
 
-/// Fields of an event: `name target key=value flag`.
+/// Parsed text of an event: `name target key=value flag`.
 struct Line<'a> {
     words: Vec<&'a str>,
     fields: HashMap<&'a str, u64>,
@@ -68,7 +68,7 @@
             "failed" => Outcome::Failed(Payload::default()),
             "not-run" => not_run(),
             "unknown" => Outcome::Unknown,
-            word => panic!("no outcome: {word}"),
+            word => panic!("unknown outcome: {word}"),
         }
     }
 }
@@ -134,7 +134,7 @@
         "slots" => Event::Slots(Slots::new(line.number() as u16)),
         "drain" => Event::Drain,
         "tick" => Event::Tick,
-        word => panic!("no event: {word}"),
+        word => panic!("unknown event: {word}"),
     }
 }
 
@@ -147,7 +147,7 @@
     }
 }
 
-/// The action as text; counters are left out.
+/// The action as text; `None` for counters.
 pub fn action_text(action: &Action) -> Option<String> {
     Some(match action {
         Action::Claim { id, .. } => format!("claim {}", id.message),
--- a/crates/admission/tests/admission/strength.rs
+++ b/crates/admission/tests/admission/weight.rs
@@ -1,4 +1,4 @@
-//! Runs the rows of `data/strength.json`: weight and wait after a series of runs.
+//! Weights (`data/weight.json`), estimated waits and the retry limit, after series of runs.
 
 use std::sync::Arc;
 
@@ -14,24 +14,25 @@
 struct Phase {
     until: u64,
     service: u64,
-    /// Every how many runs one fails, after one millisecond; 0 for none.
+    /// Every n-th run fails after one millisecond; 0 for no failures.
     #[serde(default)]
     failing: u32,
-    /// Bounds of the weight at the end of the phase.
+    /// Minimum and maximum weight at the end of the phase.
     weight: [u32; 2],
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Row {
+    /// The failure that this row guards against.
     guards: String,
     phases: Vec<Phase>,
 }
 
 fn run(row: &Row) {
-    let own = common::peer(common::OWN_PORT);
+    let own_address = common::peer(common::OWN_PORT);
     let profile = Arc::new(Profile::default());
-    let mut scheduler = Scheduler::new(profile, Slots::new(3), Policy::default(), own);
+    let mut scheduler = Scheduler::new(profile, Slots::new(3), Policy::default(), own_address);
     let (mut now, mut number) = (0, 0);
     for phase in &row.phases {
         while now < phase.until {
@@ -51,7 +52,7 @@
         let bounds = low..=high;
         assert!(
             bounds.contains(&weight),
-            "{}: {weight} at {now} ms",
+            "{}: weight {weight} at {now} ms",
             row.guards
         );
     }
@@ -59,18 +60,18 @@
 
 #[test]
 fn weight_table() {
-    let rows: Vec<Row> = serde_json::from_str(include_str!("../data/strength.json")).unwrap();
+    let rows: Vec<Row> = serde_json::from_str(include_str!("../data/weight.json")).unwrap();
     for row in &rows {
         run(row);
     }
 }
 
-/// Guards against one slow run that makes the whole host appear slow, or idle.
+/// Guards against one slow run that counts for all slots, or for none.
 #[test]
 fn straggler_affects_one_slot() {
-    let own = common::peer(common::OWN_PORT);
+    let own_address = common::peer(common::OWN_PORT);
     let profile = Arc::new(Profile::default());
-    let mut scheduler = Scheduler::new(profile, Slots::new(2), Policy::default(), own);
+    let mut scheduler = Scheduler::new(profile, Slots::new(2), Policy::default(), own_address);
     for number in 1..=2 {
         let arrival = format!("arrive {number} deadline=9000");
         scheduler.handle(text::at(0), text::event(&arrival));
@@ -82,12 +83,12 @@
     assert!((5..50).contains(&wait), "wait of {wait} ms");
 }
 
-/// Guards against one very slow run that makes its method appear long for many runs after it.
+/// Guards against one very slow run that raises its method's estimate for many later runs.
 #[test]
 fn straggler_barely_moves_the_estimate() {
-    let own = common::peer(common::OWN_PORT);
+    let own_address = common::peer(common::OWN_PORT);
     let profile = Arc::new(Profile::default());
-    let mut scheduler = Scheduler::new(profile, Slots::new(1), Policy::default(), own);
+    let mut scheduler = Scheduler::new(profile, Slots::new(1), Policy::default(), own_address);
     let mut now = 0;
     for number in 1..=21 {
         let arrival = format!("arrive {number} deadline=90000");
@@ -104,9 +105,9 @@
 /// Guards against retries that multiply the load while the backend server fails.
 #[test]
 fn retries_are_limited_without_successes() {
-    let own = common::peer(common::OWN_PORT);
+    let own_address = common::peer(common::OWN_PORT);
     let profile = Arc::new(Profile::default());
-    let mut scheduler = Scheduler::new(profile, Slots::new(1), Policy::default(), own);
+    let mut scheduler = Scheduler::new(profile, Slots::new(1), Policy::default(), own_address);
     let mut dispatches = 0;
     for number in 1..=100 {
         for event in [format!("arrive {number}"), format!("lost {number}")] {
--- a/crates/admission/tests/admission/world/checks.rs
+++ b/crates/admission/tests/admission/world/checks.rs
@@ -1,4 +1,4 @@
-//! The invariants, checked on every action.
+//! Checks of the invariants on every action of the scheduler.
 
 use usher_admission::Action;
 use usher_types::{Outcome, Request, RequestId, Span, Time};
@@ -27,17 +27,17 @@
                 }
             }
             Action::Offer { to, offer } => {
-                let place = (to.port(), offer.id);
+                let peer_offer = (to.port(), offer.id);
                 let others = self.sent.difference(&self.declined);
-                let alone = others
+                let exclusive = others
                     .into_iter()
-                    .all(|(p, id)| *id != offer.id || *p == place.0);
-                assert!(alone, "two offers of {} are outstanding", offer.id);
+                    .all(|(p, id)| *id != offer.id || *p == peer_offer.0);
+                assert!(exclusive, "two offers of {} are outstanding", offer.id);
                 assert!(
                     !self.running.contains_key(&offer.id),
                     "offered while it runs"
                 );
-                self.sent.insert(place);
+                self.sent.insert(peer_offer);
             }
             Action::OfferReply { reply, .. } => {
                 let previous = self.taken.insert(reply.id, reply.taken);
@@ -47,7 +47,7 @@
                     same || (ended && !reply.taken),
                     "changed its reply to an offer"
                 );
-                // The offering agent has its outcome and ignores this reply.
+                // The offering agent has the outcome and ignores this reply.
                 if ended {
                     self.taken.insert(reply.id, true);
                 }
@@ -68,7 +68,7 @@
                 self.drained += 1;
                 assert!(
                     self.draining && self.running.is_empty(),
-                    "drained with runs"
+                    "the drain was reported as complete while requests run"
                 );
             }
             Action::OfferDone { .. } | Action::Count(_) => {}
@@ -79,7 +79,7 @@
         let request = &self.requests[&id];
         assert!(start_by > self.now, "dispatched past its start deadline");
         assert!(
-            !self.late.contains(&id),
+            !self.drain_arrivals.contains(&id),
             "dispatched an arrival during the drain"
         );
         assert!(
@@ -121,7 +121,7 @@
         self.requests[id].method == "map" || self.now - run.started >= SHORT_BOUND
     }
 
-    /// Another attempt of the request arrived here; it may outlive the first one's caller.
+    /// Whether another attempt arrived here, which may continue after the first one has ended.
     fn is_joined(&self, id: RequestId) -> bool {
         let key = self.requests[&id].key;
         self.requests.values().filter(|r| r.key == key).count() > 1
@@ -132,12 +132,17 @@
             let key = self.requests[&id].key;
             assert!(
                 !self.ran.contains(&key),
-                "{id} is told not run, but may have run"
+                "the outcome of {id} is not-run, but it may have run"
+            );
+            let attempts = self.requests.values().filter(|r| r.key == key);
+            let cannot_run = |r: &Request| r.once && self.is_released(key, r.attempt);
+            let remote = attempts
+                .into_iter()
+                .any(|r| !cannot_run(r) && self.is_remote(&r.id));
+            assert!(
+                !remote,
+                "the outcome of {id} is not-run, but a peer may run it"
             );
-            let twins = self.requests.values().filter(|r| r.key == key);
-            let barred = |r: &Request| r.once && self.is_released(key, r.attempt);
-            let away = twins.into_iter().any(|r| !barred(r) && self.is_away(&r.id));
-            assert!(!away, "{id} is told not run, but a peer may run it");
         }
     }
 }
--- a/crates/admission/tests/admission/world/environment.rs
+++ b/crates/admission/tests/admission/world/environment.rs
@@ -1,4 +1,4 @@
-//! What callers, the key owner, the backend server and peers may do.
+//! Simulated callers, key owner, backend server and peers.
 
 use usher_admission::Event;
 use usher_types::{
@@ -9,6 +9,7 @@
 use super::{METHODS, PEERS, World, pick};
 use crate::common::{self, answer, not_run, peer};
 
+// Validity of a grant.
 const GRANT: Span = Span::from_millis(80);
 
 impl World {
@@ -38,25 +39,25 @@
     pub(super) fn arrive(&mut self, request: Request) {
         self.requests.insert(request.id, request.clone());
         if self.draining {
-            self.late.insert(request.id);
+            self.drain_arrivals.insert(request.id);
         }
-        self.feed(Event::Arrive(request));
+        self.send_event(Event::Arrive(request));
     }
 
     /// Another attempt of an earlier request, on a new flow.
-    pub(super) fn twin(&mut self, which: usize, left: u64) {
+    pub(super) fn new_attempt(&mut self, which: usize, left: u64) {
         if let Some(mut request) = pick(which, self.requests.values().cloned()) {
             let fresh = self.request(0, left);
             request.id = fresh.id;
             request.deadline = fresh.deadline;
-            let twins = self.requests.values().filter(|r| r.key == request.key);
-            let latest = twins.map(|r| r.attempt).max();
+            let attempts = self.requests.values().filter(|r| r.key == request.key);
+            let latest = attempts.map(|r| r.attempt).max();
             request.attempt = latest.unwrap_or_default().next();
             self.arrive(request);
         }
     }
 
-    /// The owner knows which keys have run and grants no such key.
+    /// Answers a claim; the key owner grants no key that has run or was released.
     pub(super) fn verdict(&mut self, which: usize, kind: u8) {
         if self.claims.is_empty() {
             return;
@@ -64,16 +65,16 @@
         let (id, attempt) = self.claims.remove(which % self.claims.len());
         let key = self.requests[&id].key;
         let outcome = match kind {
-            7 => return self.feed(Event::Denied { id }),
+            7 => return self.send_event(Event::Denied { id }),
             6 => Outcome::Unknown,
             _ => answer(),
         };
         if self.ran.contains(&key) || self.is_released(key, attempt) {
-            self.feed(Event::Settled { id, outcome });
+            self.send_event(Event::Settled { id, outcome });
         } else {
             let start_by = self.now + GRANT;
             self.granted.insert(key, (start_by, attempt));
-            self.feed(Event::Permit { id, start_by });
+            self.send_event(Event::Permit { id, start_by });
         }
     }
 
@@ -84,12 +85,12 @@
         let run = self.running.remove(&id).unwrap();
         let key = self.requests[&id].key;
         match kind {
-            7 => self.feed(Event::Lost { id }),
+            7 => self.send_event(Event::Lost { id }),
             6 => {
                 if !run.repeated {
                     self.ran.remove(&key);
                 }
-                self.feed(Event::Refused { id });
+                self.send_event(Event::Refused { id });
             }
             _ => {
                 let outcome = if kind == 5 {
@@ -97,7 +98,7 @@
                 } else {
                     answer()
                 };
-                self.feed(Event::Finished { id, outcome });
+                self.send_event(Event::Finished { id, outcome });
             }
         }
     }
@@ -120,55 +121,56 @@
         };
         self.requests.insert(request.id, request);
         self.offered.push(offer.clone());
-        self.feed(Event::Offered(offer));
+        self.send_event(Event::Offered(offer));
     }
 
-    /// A peer receives an offer; its decision on all copies is the same.
+    /// A peer replies to an offer; it decides the same on all copies.
     pub(super) fn reply(&mut self, which: usize, taken: bool, lost: bool) {
         let Some((port, id)) = pick(which, self.sent.iter().copied()) else {
             return;
         };
-        let place = (port, id);
-        self.sent.remove(&place);
-        let taken = self.delegated.contains(&place) || (taken && !self.declined.contains(&place));
+        let peer_offer = (port, id);
+        self.sent.remove(&peer_offer);
+        let taken =
+            self.delegated.contains(&peer_offer) || (taken && !self.declined.contains(&peer_offer));
         if taken {
-            self.delegated.insert(place);
+            self.delegated.insert(peer_offer);
         } else {
-            self.declined.insert(place);
+            self.declined.insert(peer_offer);
         }
         if !lost {
             let wait = Span::ZERO;
             let reply = OfferReply { id, taken, wait };
             let from = peer(port);
-            self.feed(Event::OfferReply { from, reply });
+            self.send_event(Event::OfferReply { from, reply });
         }
     }
 
-    /// A peer ends a request that it took; it needs a grant to run a once request.
+    /// A peer ends a request that it took; a once request runs only under a grant.
     pub(super) fn peer_outcome(&mut self, which: usize, kind: u8) {
         let Some((port, id)) = pick(which, self.delegated.iter().copied()) else {
             return;
         };
         let request = &self.requests[&id];
-        // The peer keeps the same rules, so it never says "not run" of what may have run.
+        // The peer keeps the same rules: it never reports "not run" if the request may have run.
         let ran = self.ran.contains(&request.key);
         let granted = self.granted.contains_key(&request.key);
         let released = self.is_released(request.key, request.attempt);
-        let barred = ran || (request.once && (granted || released));
+        let cannot_run = ran || (request.once && (granted || released));
         let outcome = match kind {
-            _ if barred => Outcome::Unknown,
+            _ if cannot_run => Outcome::Unknown,
             0 => answer(),
             1 => not_run(),
             _ => Outcome::Unknown,
         };
         self.delegated.remove(&(port, id));
-        // Copies that are still on their way are declined.
+        // Copies that are still in transit are declined.
         self.declined.insert((port, id));
-        if !barred && !matches!(outcome, Outcome::NotRun { .. }) {
+        if !cannot_run && !matches!(outcome, Outcome::NotRun { .. }) {
             self.ran.insert(request.key);
         }
         let reply = peer(port);
-        self.feed(Event::OfferOutcome(OfferOutcome { id, outcome, reply }));
+        self.send_event(Event::OfferOutcome(OfferOutcome { id, outcome, reply }));
     }
 
     pub(super) fn is_released(&self, key: RequestKey, attempt: Attempt) -> bool {
@@ -177,28 +179,28 @@
             .is_some_and(|released| attempt <= *released)
     }
 
-    pub(super) fn feed(&mut self, event: Event) {
+    pub(super) fn send_event(&mut self, event: Event) {
         for action in self.scheduler.handle(self.now, event) {
             self.check(action);
         }
     }
 
-    /// Lets time pass, with every timer at its time.
+    /// Advances the clock, with a tick at the due time of each timer.
     pub(super) fn pass(&mut self, span: Span) {
         let end = self.now + span;
         let mut ticks = 0;
         while let Some(due) = self.scheduler.next_timer().filter(|due| *due <= end) {
             self.now = self.now.max(due);
-            self.feed(Event::Tick);
+            self.send_event(Event::Tick);
             ticks += 1;
             assert!(ticks < 5_000, "timers do not advance");
         }
         self.now = end;
     }
 
-    /// Whether a copy of the request is at a peer, or may yet be taken by one.
-    pub(super) fn is_away(&self, id: &RequestId) -> bool {
+    /// Whether a peer holds a copy of the request, or may still take one.
+    pub(super) fn is_remote(&self, id: &RequestId) -> bool {
         let open = self.sent.difference(&self.declined).chain(&self.delegated);
-        open.into_iter().any(|(_, away)| away == id)
+        open.into_iter().any(|(_, remote)| remote == id)
     }
 }
--- a/crates/admission/tests/admission/world/mod.rs
+++ b/crates/admission/tests/admission/world/mod.rs
@@ -1,4 +1,4 @@
-//! The scheduler with a random environment, and the invariants that its actions must keep.
+//! Runs the scheduler in a random environment and checks the invariants on its actions.
 
 mod checks;
 mod environment;
@@ -20,6 +20,7 @@
 
 #[derive(Debug, Clone, Copy)]
 pub enum Step {
+    /// The number of milliseconds that pass.
     Pass(u64),
     /// `ran`: an earlier attempt ran at another agent.
     Arrive {
@@ -29,15 +30,20 @@
         retry: bool,
         ran: bool,
     },
+    /// A copy of a request arrives under the same id.
     Repeat(usize),
-    Twin {
+    /// Another attempt of a request arrives under a new id.
+    NewAttempt {
         which: usize,
         left: u64,
     },
+    /// `kind`: 7 denies the claim; otherwise a key that has run is settled, with 6 as unknown, and
+    /// any other key is granted.
     Verdict {
         which: usize,
         kind: u8,
     },
+    /// `kind`: 7 loses the response, 6 refuses the run, 5 fails it, others answer.
     Run {
         which: usize,
         kind: u8,
@@ -48,11 +54,13 @@
         left: u64,
     },
     OfferedAgain(usize),
+    /// `taken`: the peer takes the offer. `lost`: its reply does not arrive.
     Reply {
         which: usize,
         taken: bool,
         lost: bool,
     },
+    /// `kind`: 0 answered, 1 not run, others unknown.
     Outcome {
         which: usize,
         kind: u8,
@@ -65,7 +73,7 @@
 #[derive(Debug)]
 struct Run {
     started: Time,
-    /// The key had run before this run.
+    /// Whether a request with this key had already run.
     repeated: bool,
 }
 
@@ -77,21 +85,28 @@
     draining: bool,
     drained: u32,
     requests: BTreeMap<RequestId, Request>,
-    late: BTreeSet<RequestId>,
+    /// Requests that arrived during the drain.
+    drain_arrivals: BTreeSet<RequestId>,
+    /// Outcomes that callers received.
     outcomes: BTreeMap<RequestId, Outcome>,
     claims: Vec<(RequestId, Attempt)>,
     granted: BTreeMap<RequestKey, (Time, Attempt)>,
-    /// Released keys; the owner grants them to later attempts only.
+    /// Released keys, which the owner grants to later attempts only.
     released: BTreeMap<RequestKey, Attempt>,
     running: BTreeMap<RequestId, Run>,
     /// Keys whose request may have run anywhere.
     ran: BTreeSet<RequestKey>,
-    /// Offers on their way to a peer, held by it, or declined by it.
+    /// Offers in transit to a peer, by port and request id.
     sent: BTreeSet<(u16, RequestId)>,
+    /// Offers that a peer has taken.
     delegated: BTreeSet<(u16, RequestId)>,
+    /// Offers that a peer has declined or completed.
     declined: BTreeSet<(u16, RequestId)>,
+    /// Offers from peers to the scheduler.
     offered: Vec<Offer>,
+    /// The scheduler's replies to the offers from peers.
     taken: BTreeMap<RequestId, bool>,
+    /// Outcomes that the scheduler reported to peers.
     reported: BTreeMap<RequestId, Outcome>,
 }
 
@@ -109,16 +124,16 @@
             ..ClassRule::default()
         };
         profile.methods.insert("map".to_owned(), rule);
-        let own = peer(common::OWN_PORT);
+        let own_address = peer(common::OWN_PORT);
         Self {
-            scheduler: Scheduler::new(Arc::new(profile), Slots::new(SLOTS), policy, own),
+            scheduler: Scheduler::new(Arc::new(profile), Slots::new(SLOTS), policy, own_address),
             policy,
             now: Time::ZERO,
             slots: SLOTS,
             draining: false,
             drained: 0,
             requests: BTreeMap::new(),
-            late: BTreeSet::new(),
+            drain_arrivals: BTreeSet::new(),
             outcomes: BTreeMap::new(),
             claims: Vec::new(),
             granted: BTreeMap::new(),
@@ -134,7 +149,7 @@
         }
     }
 
-    pub fn take(&mut self, step: Step) {
+    pub fn apply(&mut self, step: Step) {
         match step {
             Step::Pass(millis) => self.pass(Span::from_millis(millis)),
             Step::Arrive {
@@ -153,51 +168,51 @@
                 self.arrive(request);
             }
             Step::Repeat(which) => {
-                // Flows deliver no copy after the outcome, so timers that are due come first.
-                self.feed(Event::Tick);
+                // Flows deliver no copy after the outcome, so due timers are handled first.
+                self.send_event(Event::Tick);
                 if let Some(request) = pick(which, self.open()) {
-                    self.feed(Event::Arrive(request));
+                    self.send_event(Event::Arrive(request));
                 }
             }
-            Step::Twin { which, left } => self.twin(which, left),
+            Step::NewAttempt { which, left } => self.new_attempt(which, left),
             Step::Verdict { which, kind } => self.verdict(which, kind),
             Step::Run { which, kind } => self.end_run(which, kind),
             Step::Cancel(which) => {
                 if let Some(request) = pick(which, self.open()) {
-                    self.feed(Event::Cancel { id: request.id });
+                    self.send_event(Event::Cancel { id: request.id });
                 }
             }
             Step::Offered { method, left } => self.offer(method, left),
             Step::OfferedAgain(which) => {
                 if let Some(offer) = pick(which, self.offered.clone()) {
-                    self.feed(Event::Offered(offer));
+                    self.send_event(Event::Offered(offer));
                 }
             }
             Step::Reply { which, taken, lost } => self.reply(which, taken, lost),
             Step::Outcome { which, kind } => self.peer_outcome(which, kind),
             Step::Done(which) => {
                 if let Some(id) = pick(which, self.reported.keys().copied()) {
-                    self.feed(Event::OfferDone(OfferDone { id }));
+                    self.send_event(Event::OfferDone(OfferDone { id }));
                 }
             }
             Step::Peers(a, b) => {
                 let waits = PEERS.into_iter().zip([a, b]);
                 let waits = waits.map(|(port, ms)| (peer(port), Span::from_millis(ms)));
-                self.feed(Event::Peers(waits.collect()));
+                self.send_event(Event::Peers(waits.collect()));
             }
             Step::Slots(count) => {
                 self.slots = count;
-                self.feed(Event::Slots(Slots::new(count)));
+                self.send_event(Event::Slots(Slots::new(count)));
             }
         }
     }
 
     pub fn drain(&mut self) {
         self.draining = true;
-        self.feed(Event::Drain);
+        self.send_event(Event::Drain);
     }
 
-    /// Answers everything that is pending; then nothing may be left.
+    /// Answers everything that is pending and checks that each request has an outcome.
     pub fn settle(&mut self) {
         let first = 0;
         for _ in 0..200 {
@@ -206,7 +221,7 @@
             self.reply(first, false, false);
             self.peer_outcome(first, 0);
             for id in self.reported.keys().copied().collect::<Vec<_>>() {
-                self.feed(Event::OfferDone(OfferDone { id }));
+                self.send_event(Event::OfferDone(OfferDone { id }));
             }
             self.pass(Span::from_millis(20));
         }
@@ -223,7 +238,7 @@
         }
         assert_eq!(
             self.drained, 1,
-            "times that the drain was reported as complete"
+            "the drain was not reported as complete exactly once"
         );
     }
 }
