--- a/crates/dedupe/src/action.rs
+++ b/crates/dedupe/src/action.rs
@@ -6,19 +6,19 @@
 
 use crate::Transfer;
 
-/// What a `Ledger` wants done.
+/// Output of a `Ledger`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LedgerAction {
     /// Send a verdict.
     Verdict {
-        /// Agent of the holder.
+        /// Address of the holder's agent.
         to: SocketAddrV4,
         /// The message.
         verdict: Verdict,
     },
     /// Acknowledge an outcome.
     Completed {
-        /// Agent of the holder.
+        /// Address of the holder's agent.
         to: SocketAddrV4,
         /// The message.
         completed: Completed,
@@ -39,11 +39,11 @@
     },
     /// The agent has left the roster and every record has been taken over.
     Drained,
-    /// Count an occurrence.
+    /// Increment a counter.
     Count(Counter),
 }
 
-/// Occurrences that a `Ledger` counts.
+/// Counters of a `Ledger`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Counter {
     /// A key was granted.
@@ -60,19 +60,19 @@
     Abandoned,
 }
 
-/// What a `Claimant` wants done.
+/// Output of a `Claimant`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimantAction {
     /// Send a claim to the key's owner, which may be this agent.
     Claim {
-        /// Agent of the owner.
+        /// Address of the owner's agent.
         to: SocketAddrV4,
         /// The message.
         claim: Claim,
     },
     /// Report an outcome to the key's owner.
     Complete {
-        /// Agent of the owner.
+        /// Address of the owner's agent.
         to: SocketAddrV4,
         /// The message.
         complete: Complete,
@@ -84,7 +84,7 @@
         /// Local time of the last permitted start.
         start_by: Time,
     },
-    /// The key has run, here or elsewhere, or may have.
+    /// The request has run, here or on another host, or may have run.
     Settled {
         /// Key of the request.
         key: RequestKey,
@@ -96,7 +96,9 @@
         /// Key of the request.
         key: RequestKey,
     },
-    /// No grant came in time; this process has not dispatched the key and will not for this request.
+    /// No grant came in time; this process has not dispatched the key.
+    ///
+    /// It will not dispatch it for this request either.
     Denied {
         /// Key of the request.
         key: RequestKey,
--- a/crates/dedupe/src/claimant.rs
+++ b/crates/dedupe/src/claimant.rs
@@ -6,12 +6,14 @@
 };
 
 use crate::action::ClaimantAction;
-use crate::ask::{Ask, Phase};
-use crate::asks::Asks;
 use crate::event::ClaimantEvent;
-use crate::limits::{RESEND, RESEND_MAX, RETENTION, RETRY, ROUND, RUN_LIMIT, shorter};
+use crate::limits::{
+    CLAIM_LIFETIME, RESEND_DELAY, RESEND_DELAY_MAX, RETENTION, RETRY_DELAY, RUN_LIMIT, lower_bound,
+};
 use crate::ownership::{Agent, owner_of};
-use crate::stall::Stall;
+use crate::request::{Phase, Request};
+use crate::requests::Requests;
+use crate::stall::StallDetector;
 
 /// Obtains, as the holder of requests, permission to dispatch them and reports their outcomes.
 ///
@@ -28,13 +30,13 @@
     agent: Agent,
     reply: SocketAddrV4,
     roster: Option<Arc<Roster>>,
-    last: Time,
-    stall: Stall,
-    asks: Asks,
+    last_sent: Time,
+    stall: StallDetector,
+    requests: Requests,
 }
 
 impl Claimant {
-    /// A holder that receives verdicts at `reply`.
+    /// Creates a claimant that receives verdicts at `reply`.
     ///
     /// ```
     /// use usher_dedupe::{Agent, Claimant};
@@ -48,9 +50,9 @@
             agent,
             reply,
             roster: None,
-            last: Time::ZERO,
-            stall: Stall::default(),
-            asks: Asks::default(),
+            last_sent: Time::ZERO,
+            stall: StallDetector::default(),
+            requests: Requests::default(),
         }
     }
 
@@ -63,8 +65,8 @@
     /// let mut claimant = Claimant::new(agent, "127.0.0.1:7000".parse().unwrap());
     /// let key = RequestKey::new(1);
     /// let deadline = Time::ZERO;
-    /// let ask = ClaimantEvent::Ask { key, attempt: Attempt::new(1), age: Span::ZERO, deadline };
-    /// let actions = claimant.handle(Time::ZERO, ask);
+    /// let request = ClaimantEvent::Ask { key, attempt: Attempt::new(1), age: Span::ZERO, deadline };
+    /// let actions = claimant.handle(Time::ZERO, request);
     /// assert_eq!(actions, [ClaimantAction::Denied { key }]);
     /// # Ok::<(), usher_types::ParseError>(())
     /// ```
@@ -78,8 +80,8 @@
                 age,
                 deadline,
             } => {
-                let ask = Ask::new(now, attempt, age + stalled, deadline);
-                self.ask(key, ask, &mut actions);
+                let request = Request::new(now, attempt, age + stalled, deadline);
+                self.request(key, request, &mut actions);
             }
             ClaimantEvent::Verdict(verdict) => self.verdict(now, verdict, &mut actions),
             ClaimantEvent::Report { key, outcome } => {
@@ -103,29 +105,34 @@
     /// # Ok::<(), usher_types::ParseError>(())
     /// ```
     pub fn next_timer(&self) -> Option<Time> {
-        let due = self.asks.next_due();
+        let due = self.requests.next_due();
         due.into_iter().chain([self.stall.next_timer()]).min()
     }
 
-    // A key that was permitted here is answered from memory: a new claim would replace its grant.
-    fn ask(&mut self, key: RequestKey, mut ask: Ask, actions: &mut Vec<ClaimantAction>) {
-        match self.asks.get_mut(key) {
-            None => self.asks.put(key, ask),
+    // A key that was permitted here is not claimed again, because a new claim would replace its grant.
+    fn request(
+        &mut self,
+        key: RequestKey,
+        mut request: Request,
+        actions: &mut Vec<ClaimantAction>,
+    ) {
+        match self.requests.get_mut(key) {
+            None => self.requests.put(key, request),
             Some(known) => match &known.phase {
                 Phase::Reporting {
                     outcome: Outcome::NotRun { .. },
                     sent,
                     ..
                 } => {
-                    ask.claimed = Some(*sent);
-                    self.asks.put(key, ask);
+                    request.last_claim = Some(*sent);
+                    self.requests.put(key, request);
                 }
                 Phase::Reporting { outcome, .. } | Phase::Done(outcome) => {
                     let outcome = outcome.clone();
                     actions.push(ClaimantAction::Settled { key, outcome });
                 }
                 _ => {
-                    known.shared = true;
+                    known.has_waiter = true;
                     actions.push(ClaimantAction::Running { key });
                 }
             },
@@ -134,43 +141,43 @@
 
     fn verdict(&mut self, now: Time, verdict: Verdict, actions: &mut Vec<ClaimantAction>) {
         let key = verdict.key;
-        let Some(ask) = self.asks.get(key) else {
+        let Some(request) = self.requests.get(key) else {
             return;
         };
-        // Verdicts on replaced claims are void.
-        match &ask.phase {
+        // Verdicts on replaced claims are ignored.
+        match &request.phase {
             Phase::Claiming(claim) if claim.sent == verdict.sent => {}
             _ => return,
         }
-        let mut ask = ask.clone();
+        let mut request = request.clone();
         match verdict.decision {
             Decision::Granted(span) => {
-                let start_by = verdict.sent + shorter(span);
-                if start_by <= now || ask.deadline <= now {
-                    return self.pause(now, key, ask, RESEND);
+                let start_by = verdict.sent + lower_bound(span);
+                if start_by <= now || request.deadline <= now {
+                    return self.pause(now, key, request, RESEND_DELAY);
                 }
-                ask.phase = Phase::Permitted { sent: verdict.sent };
-                ask.due = start_by + RUN_LIMIT;
-                self.asks.put(key, ask);
+                request.phase = Phase::Permitted { sent: verdict.sent };
+                request.due = start_by + RUN_LIMIT;
+                self.requests.put(key, request);
                 actions.push(ClaimantAction::Permit { key, start_by });
             }
             Decision::Finished(outcome) => self.settle(key, outcome, actions),
             Decision::Unknown => self.settle(key, Outcome::Unknown, actions),
             Decision::Running => {
-                if !ask.elsewhere {
+                if !request.held_elsewhere {
                     actions.push(ClaimantAction::Running { key });
                 }
-                ask.elsewhere = true;
-                let pause = ask.pause;
-                ask.pause = (pause * 2).min(RESEND_MAX);
-                self.pause(now, key, ask, pause);
+                request.held_elsewhere = true;
+                let pause = request.pause;
+                request.pause = (pause * 2).min(RESEND_DELAY_MAX);
+                self.pause(now, key, request, pause);
             }
-            Decision::Wait(_) if now + RETRY >= ask.deadline => {
-                self.give_up(now, key, ask, actions);
+            Decision::Wait(_) if now + RETRY_DELAY >= request.deadline => {
+                self.give_up(now, key, request, actions);
             }
-            // Records handed over can end the wait much earlier than the owner foresees.
-            Decision::Wait(span) => self.pause(now, key, ask, span.min(RETRY)),
-            Decision::NotOwner(_) => self.pause(now, key, ask, RETRY),
+            // Handed-over records can end the wait much earlier than the owner's estimate.
+            Decision::Wait(span) => self.pause(now, key, request, span.min(RETRY_DELAY)),
+            Decision::NotOwner(_) => self.pause(now, key, request, RETRY_DELAY),
         }
     }
 
@@ -181,44 +188,44 @@
         outcome: Outcome,
         actions: &mut Vec<ClaimantAction>,
     ) {
-        let Some(ask) = self.asks.get(key) else {
+        let Some(request) = self.requests.get(key) else {
             return;
         };
-        let Phase::Permitted { sent } = ask.phase else {
+        let Phase::Permitted { sent } = request.phase else {
             return;
         };
-        if ask.shared {
+        if request.has_waiter {
             let outcome = outcome.clone();
             actions.push(ClaimantAction::Settled { key, outcome });
         }
-        let ask = ask.clone();
-        self.start_report(now, key, ask, sent, outcome);
+        let request = request.clone();
+        self.start_report(now, key, request, sent, outcome);
     }
 
     fn start_report(
         &mut self,
         now: Time,
         key: RequestKey,
-        mut ask: Ask,
+        mut request: Request,
         sent: Time,
         outcome: Outcome,
     ) {
-        ask.phase = Phase::Reporting {
+        request.phase = Phase::Reporting {
             sent,
             outcome,
             give_up: now + RUN_LIMIT,
         };
-        ask.shared = false;
-        ask.pause = RESEND;
-        ask.due = now;
-        self.asks.put(key, ask);
+        request.has_waiter = false;
+        request.pause = RESEND_DELAY;
+        request.due = now;
+        self.requests.put(key, request);
     }
 
     fn completed(&mut self, now: Time, completed: &Completed) {
-        let Some(ask) = self.asks.get(completed.key) else {
+        let Some(request) = self.requests.get(completed.key) else {
             return;
         };
-        if let Phase::Reporting { sent, outcome, .. } = &ask.phase
+        if let Phase::Reporting { sent, outcome, .. } = &request.phase
             && *sent == completed.sent
         {
             let outcome = outcome.clone();
@@ -235,33 +242,33 @@
             return;
         }
         self.roster = Some(roster);
-        for (key, mut ask) in self.asks.undecided() {
-            if let Phase::Claiming(_) = ask.phase {
-                ask.phase = Phase::Pausing;
+        for (key, mut request) in self.requests.awaiting_owner() {
+            if let Phase::Claiming(_) = request.phase {
+                request.phase = Phase::Pausing;
             }
-            ask.pause = RESEND;
-            ask.due = now;
-            self.asks.put(key, ask);
+            request.pause = RESEND_DELAY;
+            request.due = now;
+            self.requests.put(key, request);
         }
     }
 
     fn advance(&mut self, now: Time, actions: &mut Vec<ClaimantAction>) {
-        while let Some((key, ask)) = self.asks.take_due(now) {
-            match ask.phase.clone() {
-                Phase::Pausing | Phase::Claiming(_) if ask.deadline <= now => {
-                    self.give_up(now, key, ask, actions);
+        while let Some((key, request)) = self.requests.take_due(now) {
+            match request.phase.clone() {
+                Phase::Pausing | Phase::Claiming(_) if request.deadline <= now => {
+                    self.give_up(now, key, request, actions);
                 }
-                Phase::Pausing => self.claim(now, key, ask, actions),
-                Phase::Claiming(claim) if now - claim.sent >= ROUND => {
-                    self.claim(now, key, ask, actions);
+                Phase::Pausing => self.claim(now, key, request, actions),
+                Phase::Claiming(claim) if now - claim.sent >= CLAIM_LIFETIME => {
+                    self.claim(now, key, request, actions);
                 }
-                Phase::Claiming(claim) => self.send(now, claim, ask, actions),
+                Phase::Claiming(claim) => self.send(now, claim, request, actions),
                 Phase::Permitted { .. } => {
-                    if ask.shared {
+                    if request.has_waiter {
                         let outcome = Outcome::Unknown;
                         actions.push(ClaimantAction::Settled { key, outcome });
                     }
-                    self.asks.put(key, ask);
+                    self.requests.put(key, request);
                     self.finish(now, key, Outcome::Unknown);
                 }
                 Phase::Reporting {
@@ -270,10 +277,10 @@
                     give_up,
                 } => {
                     if give_up <= now {
-                        self.asks.put(key, ask);
+                        self.requests.put(key, request);
                         self.finish(now, key, outcome);
                     } else {
-                        self.complete(now, key, ask, (sent, outcome), actions);
+                        self.complete(now, key, request, (sent, outcome), actions);
                     }
                 }
                 Phase::Done(_) => {}
@@ -281,52 +288,58 @@
         }
     }
 
-    // A new claim voids the earlier ones of this key: only its verdict counts.
+    // A new claim replaces the earlier ones of this key: only its verdict counts.
     fn claim(
         &mut self,
         now: Time,
         key: RequestKey,
-        mut ask: Ask,
+        mut request: Request,
         actions: &mut Vec<ClaimantAction>,
     ) {
         let Some(roster) = &self.roster else {
-            return self.pause(now, key, ask, RETRY);
+            return self.pause(now, key, request, RETRY_DELAY);
         };
-        let sent = now.max(self.last + Span::from_micros(1));
-        self.last = sent;
-        ask.claimed = Some(sent);
-        if !ask.elsewhere {
-            ask.pause = RESEND;
+        let sent = now.max(self.last_sent + Span::from_micros(1));
+        self.last_sent = sent;
+        request.last_claim = Some(sent);
+        if !request.held_elsewhere {
+            request.pause = RESEND_DELAY;
         }
         let claim = Claim {
             key,
-            attempt: ask.attempt,
-            age: ask.age + (now - ask.asked),
+            attempt: request.attempt,
+            age: request.age + (now - request.received),
             holder: self.agent.host.clone(),
             incarnation: self.agent.incarnation,
             reply: self.reply,
             roster: roster.version,
             sent,
         };
-        self.send(now, claim, ask, actions);
+        self.send(now, claim, request, actions);
     }
 
-    fn send(&mut self, now: Time, claim: Claim, mut ask: Ask, actions: &mut Vec<ClaimantAction>) {
+    fn send(
+        &mut self,
+        now: Time,
+        claim: Claim,
+        mut request: Request,
+        actions: &mut Vec<ClaimantAction>,
+    ) {
         let key = claim.key;
         if let Some(to) = self.owner(key) {
             let claim = claim.clone();
             actions.push(ClaimantAction::Claim { to, claim });
         }
-        ask.back_off(now);
-        ask.phase = Phase::Claiming(claim);
-        self.asks.put(key, ask);
+        request.back_off(now);
+        request.phase = Phase::Claiming(claim);
+        self.requests.put(key, request);
     }
 
     fn complete(
         &mut self,
         now: Time,
         key: RequestKey,
-        mut ask: Ask,
+        mut request: Request,
         report: (Time, Outcome),
         actions: &mut Vec<ClaimantAction>,
     ) {
@@ -342,50 +355,56 @@
             };
             actions.push(ClaimantAction::Complete { to, complete });
         }
-        ask.back_off(now);
-        self.asks.put(key, ask);
+        request.back_off(now);
+        self.requests.put(key, request);
     }
 
-    fn pause(&mut self, now: Time, key: RequestKey, mut ask: Ask, span: Span) {
-        ask.phase = Phase::Pausing;
-        ask.due = (now + span)
-            .min(ask.deadline)
+    fn pause(&mut self, now: Time, key: RequestKey, mut request: Request, span: Span) {
+        request.phase = Phase::Pausing;
+        request.due = (now + span)
+            .min(request.deadline)
             .max(now + Span::from_micros(1));
-        self.asks.put(key, ask);
+        self.requests.put(key, request);
     }
 
-    // The owner may have recorded a grant whose verdict was lost; it is given back.
-    fn give_up(&mut self, now: Time, key: RequestKey, ask: Ask, actions: &mut Vec<ClaimantAction>) {
-        if ask.elsewhere {
+    // The owner may have recorded a grant whose verdict was lost, so the grant is released.
+    fn give_up(
+        &mut self,
+        now: Time,
+        key: RequestKey,
+        request: Request,
+        actions: &mut Vec<ClaimantAction>,
+    ) {
+        if request.held_elsewhere {
             return self.settle(key, Outcome::Unknown, actions);
         }
         actions.push(ClaimantAction::Denied { key });
-        let Some(sent) = ask.claimed else {
-            self.asks.take(key);
+        let Some(sent) = request.last_claim else {
+            self.requests.take(key);
             return;
         };
         let outcome = Outcome::NotRun {
             refusal: Refusal::NoOwner,
-            retry: RETRY,
+            retry: RETRY_DELAY,
         };
-        self.start_report(now, key, ask, sent, outcome);
+        self.start_report(now, key, request, sent, outcome);
     }
 
     fn settle(&mut self, key: RequestKey, outcome: Outcome, actions: &mut Vec<ClaimantAction>) {
-        self.asks.take(key);
+        self.requests.take(key);
         actions.push(ClaimantAction::Settled { key, outcome });
     }
 
     fn finish(&mut self, now: Time, key: RequestKey, outcome: Outcome) {
-        let Some(mut ask) = self.asks.take(key) else {
+        let Some(mut request) = self.requests.take(key) else {
             return;
         };
         if matches!(outcome, Outcome::NotRun { .. }) {
             return;
         }
-        ask.phase = Phase::Done(outcome);
-        ask.due = now + RETENTION;
-        self.asks.put(key, ask);
+        request.phase = Phase::Done(outcome);
+        request.due = now + RETENTION;
+        self.requests.put(key, request);
     }
 
     fn owner(&self, key: RequestKey) -> Option<SocketAddrV4> {
--- a/crates/dedupe/src/entry.rs
+++ b/crates/dedupe/src/entry.rs
@@ -1,6 +1,6 @@
 use usher_types::{Span, Time};
 
-use crate::limits::{RETENTION, RUN_LIMIT, shorter};
+use crate::limits::{RETENTION, RUN_LIMIT, lower_bound};
 use crate::record::{Record, State};
 
 /// A record with the local time of its last change.
@@ -11,13 +11,13 @@
 }
 
 impl Entry {
-    /// When the entry changes or is dropped without further events.
+    /// When the entry expires if no event changes it earlier.
     pub(crate) fn due(&self) -> Time {
-        let rest = match &self.state {
+        let remaining = match &self.state {
             State::Granted { span, .. } => *span + RUN_LIMIT,
             _ => RETENTION,
         };
-        self.changed + rest
+        self.changed + remaining
     }
 
     pub(crate) fn to_record(&self, now: Time) -> Record {
@@ -27,9 +27,9 @@
         }
     }
 
-    // The elapsed time is shortened by the drift bound, so that a record lives rather longer.
+    // The elapsed time is reduced by the drift bound, so that clock drift never expires a record early.
     pub(crate) fn from_record(record: Record, now: Time) -> Self {
-        let elapsed: Span = shorter(record.elapsed);
+        let elapsed: Span = lower_bound(record.elapsed);
         Self {
             state: record.state,
             changed: now - elapsed,
--- a/crates/dedupe/src/event.rs
+++ b/crates/dedupe/src/event.rs
@@ -7,12 +7,12 @@
 
 use crate::Transfer;
 
-/// A newly adopted roster with the earlier ones whose owners may still act.
+/// A newly adopted roster with the earlier ones whose owners may still grant keys.
 #[derive(Debug, Clone)]
 pub struct Lineage {
     /// The adopted roster.
     pub roster: Arc<Roster>,
-    /// Earlier rosters known to the caller, in any order.
+    /// The known earlier rosters, in any order.
     pub earlier: Vec<Arc<Roster>>,
     /// `earlier` holds the roster that this one replaced, and every other one that some process
     /// still reports as unsettled.
@@ -28,7 +28,7 @@
     Claim(Claim),
     /// A holder reports an outcome.
     Complete(Complete),
-    /// A member acknowledged an own heartbeat.
+    /// A member acknowledged a heartbeat of this agent.
     Ack(BeatAck),
     /// A member has adopted a roster version, seen in a `Beat` or `BeatAck`.
     Adopted {
@@ -37,7 +37,7 @@
         /// Version that it has adopted.
         roster: Version,
     },
-    /// An operator confirms that the members of rosters up to this version run no more.
+    /// An operator confirms that the members of rosters up to this version no longer run.
     Confirmed(Version),
     /// Another agent hands over records.
     Takeover(Transfer),
--- a/crates/dedupe/src/handover.rs
+++ b/crates/dedupe/src/handover.rs
@@ -2,7 +2,7 @@
 use usher_types::{HostId, Span, Time, Version};
 
 use crate::action::LedgerAction;
-use crate::limits::{RESEND, RESEND_MAX};
+use crate::limits::{RESEND_DELAY, RESEND_DELAY_MAX};
 use crate::transfer::Transfer;
 
 #[derive(Debug)]
@@ -32,7 +32,7 @@
     pub(crate) fn send(&mut self, now: Time, transfer: Transfer) {
         let host = transfer.to.host.clone();
         let due = now;
-        let pause = RESEND;
+        let pause = RESEND_DELAY;
         self.0.insert(
             host,
             Pending {
@@ -56,13 +56,13 @@
 
     /// Transfers whose first transmission or retransmission is due.
     ///
-    /// A retransmission repeats times relative to the first one, which makes records live longer
-    /// and `since` later: both lean towards refusal.
+    /// A retransmission repeats the times of the first one, so the receiver keeps records longer and
+    /// takes the stop for later than it was. Both can only lead to more refusals.
     pub(crate) fn transmit(&mut self, now: Time) -> Vec<LedgerAction> {
         let due = self.0.iter_mut().filter(|(_, pending)| pending.due <= now);
         due.map(|(host, pending)| {
             pending.due = now + pending.pause;
-            pending.pause = (pending.pause * 2).min(RESEND_MAX);
+            pending.pause = (pending.pause * 2).min(RESEND_DELAY_MAX);
             LedgerAction::Handover {
                 to: host.clone(),
                 transfer: pending.transfer.clone(),
--- a/crates/dedupe/src/history.rs
+++ b/crates/dedupe/src/history.rs
@@ -4,22 +4,22 @@
 use usher_types::{HostId, PastRoster, RequestKey, Roster, Span, Time, Version};
 
 use crate::event::Lineage;
-use crate::limits::{FOLD_AFTER, LEASE, longer, shorter};
+use crate::limits::{LEASE, STOPPED_RETENTION, lower_bound, upper_bound};
 use crate::origin::Origin;
 use crate::ownership::{Agent, activation_quorum, is_member, owner_of};
 use crate::transfer::{Cover, Transfer};
 
-/// Whether earlier owners of a key can still grant it.
+/// Whether owners of a key under earlier rosters can still grant it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Standing {
+pub(crate) enum Predecessors {
     /// Some can, until the given time if it is known.
     Unsettled(Option<Time>),
     /// None can since this time; `None` when all their grants are known.
-    Since(Option<Time>),
+    Stopped(Option<Time>),
 }
 
 #[derive(Debug)]
-struct Earlier {
+struct EarlierRoster {
     roster: Arc<Roster>,
     stopped: Option<Time>,
 }
@@ -31,10 +31,12 @@
     origin: Origin,
     current: Option<Arc<Roster>>,
     // Newest first.
-    earlier: Vec<Earlier>,
-    // All rosters up to this version had stopped at `floor`.
-    folded: Version,
-    floor: Option<Time>,
+    earlier: Vec<EarlierRoster>,
+    // All rosters up to this version have been removed from `earlier`.
+    pruned: Version,
+    // When all rosters missing from `earlier` had stopped; `None` if there were none.
+    older_stopped: Option<Time>,
+    // All unsettled rosters are in `earlier`.
     complete: bool,
     adopted: IndexMap<HostId, Version>,
     covers: Vec<Cover>,
@@ -47,8 +49,8 @@
             origin,
             current: None,
             earlier: Vec::new(),
-            folded: Version::default(),
-            floor: None,
+            pruned: Version::default(),
+            older_stopped: None,
             complete: false,
             adopted: IndexMap::new(),
             covers: Vec::new(),
@@ -65,7 +67,7 @@
             .map_or(Version::default(), |roster| roster.version)
     }
 
-    /// Takes over a lineage; returns whether its roster is newly adopted.
+    /// Adopts a roster and its predecessors; returns whether the roster is newer than the current one.
     pub(crate) fn adopt(&mut self, now: Time, lineage: Lineage) -> bool {
         let version = lineage.roster.version;
         if self.current.is_some() && version < self.version() {
@@ -75,63 +77,64 @@
             .current
             .as_ref()
             .is_none_or(|roster| roster.version < version);
-        self.link(now, newly, &lineage);
+        self.update_complete(now, newly, &lineage);
         if newly && let Some(previous) = self.current.replace(lineage.roster) {
-            self.remember(previous);
+            self.insert_earlier(previous);
         }
         for roster in lineage.earlier {
-            self.remember(roster);
+            self.insert_earlier(roster);
         }
-        self.observe(now);
+        self.mark_stopped(now);
         newly
     }
 
-    /// Notes that a member has adopted a version.
+    /// Records that a member has adopted a version.
     pub(crate) fn adopted(&mut self, now: Time, host: HostId, version: Version) {
         let known = self.adopted.entry(host).or_default();
         if *known < version {
             *known = version;
-            self.observe(now);
+            self.mark_stopped(now);
         }
     }
 
-    /// Counts all rosters up to a version as stopped by now.
+    /// Treats all rosters up to a version as stopped after the length of a lease.
     pub(crate) fn confirm(&mut self, now: Time, version: Version) {
-        let gone = |earlier: &&mut Earlier| earlier.roster.version <= version;
+        let gone = |earlier: &&mut EarlierRoster| earlier.roster.version <= version;
         for earlier in self.earlier.iter_mut().filter(gone) {
-            earlier.stopped.get_or_insert(now + longer(LEASE));
+            earlier.stopped.get_or_insert(now + upper_bound(LEASE));
         }
     }
 
-    /// Notes what a transfer covers; false when it is ahead of the adopted roster.
+    /// Records what a transfer covers; false when its roster is newer than the adopted one.
     pub(crate) fn receive(&mut self, now: Time, transfer: &Transfer) -> bool {
         if transfer.roster > self.version() {
             return false;
         }
         for cover in &transfer.covers {
-            if cover.roster > self.folded {
-                self.note_cover(cover);
+            if cover.roster > self.pruned {
+                self.add_cover(cover);
             }
         }
-        // A folded roster counts only in the own floor, which must then stay.
+        // A pruned roster is not inserted again. Only `older_stopped` accounts for it, so
+        // `older_stopped` must then stay.
         for past in &transfer.rosters {
-            self.remember(Arc::new(past.to_roster()));
+            self.insert_earlier(Arc::new(past.to_roster()));
         }
-        self.observe(now);
+        self.mark_stopped(now);
         let known = |past: &PastRoster| self.roster(past.version).is_some();
         if self.complete && transfer.rosters.iter().all(known) {
-            let floor = transfer.since.map(|span| now - shorter(span));
-            self.floor = self.floor.min(floor);
+            let older_stopped = transfer.since.map(|span| now - lower_bound(span));
+            self.older_stopped = self.older_stopped.min(older_stopped);
         }
         true
     }
 
-    /// What a transfer to `to` under the current roster may state, without its records.
+    /// Creates a transfer to `to` under the current roster, without records.
     pub(crate) fn transfer(&self, now: Time, to: Agent) -> Transfer {
         let step = (self.version(), to.clone());
         let own = self
             .own_rosters()
-            .filter(|roster| self.may_pass(roster, &to));
+            .filter(|roster| self.may_have_moved(roster, &to));
         let own = own.map(|roster| Cover {
             roster: roster.version,
             owner: self.agent.clone(),
@@ -139,7 +142,7 @@
         });
         let passed = self.covers.iter().filter(|cover| {
             let received = cover.path.last().and_then(|last| self.roster(last.0));
-            received.is_none_or(|roster| self.may_pass(roster, &to))
+            received.is_none_or(|roster| self.may_have_moved(roster, &to))
         });
         let passed = passed.cloned().map(|mut cover| {
             cover.path.push(step.clone());
@@ -152,14 +155,14 @@
             roster: self.version(),
             covers,
             rosters: self.earlier.iter().map(|e| past(&e.roster)).collect(),
-            since: self.vouched(now),
+            since: self.older_stop_age(now),
             records: Vec::new(),
         }
     }
 
-    // Keeps the covers with the fewest conditions: without this, every roster change multiplies
-    // them by the number of members, and a rolling restart of 7 hosts does not end.
-    fn note_cover(&mut self, cover: &Cover) {
+    // Drops a cover whose conditions include all those of another one. Otherwise every roster change
+    // multiplies the covers by the number of members, and a rolling restart of 7 hosts does not end.
+    fn add_cover(&mut self, cover: &Cover) {
         let is_same = |other: &Cover| other.roster == cover.roster && other.owner == cover.owner;
         let implies = |few: &Cover, many: &Cover| few.path.iter().all(|s| many.path.contains(s));
         let mut known = self.covers.iter().filter(|other| is_same(other));
@@ -174,21 +177,21 @@
     /// Whether keys may have moved from this agent to another member since an earlier roster.
     pub(crate) fn may_gain(&self, member: &Agent) -> bool {
         let mut own = self.own_rosters();
-        own.any(|roster| self.may_pass(roster, member))
+        own.any(|roster| self.may_have_moved(roster, member))
     }
 
     // A key moves only from an agent that left or to one that joined.
-    fn may_pass(&self, since: &Roster, to: &Agent) -> bool {
+    fn may_have_moved(&self, since: &Roster, to: &Agent) -> bool {
         let current = self.current.as_ref();
         let left = !current.is_some_and(|roster| is_member(roster, &self.agent));
         left || !is_member(since, to)
     }
 
-    pub(crate) fn standing(&self, now: Time, key: RequestKey) -> Standing {
+    pub(crate) fn predecessors(&self, now: Time, key: RequestKey) -> Predecessors {
         if !self.complete {
-            return Standing::Unsettled(None);
+            return Predecessors::Unsettled(None);
         }
-        let mut since = self.floor;
+        let mut since = self.older_stopped;
         for earlier in &self.earlier {
             let Some(owner) = owner_of(&earlier.roster, key) else {
                 continue;
@@ -198,38 +201,38 @@
             }
             match earlier.stopped {
                 Some(stopped) if stopped <= now => since = since.max(Some(stopped)),
-                pending => return Standing::Unsettled(pending),
+                pending => return Predecessors::Unsettled(pending),
             }
         }
-        Standing::Since(since)
+        Predecessors::Stopped(since)
     }
 
-    /// Earlier rosters that may have an active owner.
+    /// Earlier rosters whose owners may still grant keys.
     pub(crate) fn unsettled(&self, now: Time) -> impl Iterator<Item = Version> + '_ {
-        let active = move |e: &&Earlier| e.stopped.is_none_or(|stopped| stopped > now);
+        let active = move |e: &&EarlierRoster| e.stopped.is_none_or(|stopped| stopped > now);
         self.earlier.iter().filter(active).map(|e| e.roster.version)
     }
 
-    pub(crate) fn next_fold(&self) -> Option<Time> {
+    pub(crate) fn next_prune(&self) -> Option<Time> {
         let oldest = self.earlier.last().filter(|_| self.complete)?;
-        oldest.stopped.map(|stopped| stopped + FOLD_AFTER)
+        oldest.stopped.map(|stopped| stopped + STOPPED_RETENTION)
     }
 
-    /// Forgets the oldest rosters that stopped long ago.
-    pub(crate) fn fold(&mut self, now: Time) {
-        while self.next_fold().is_some_and(|due| due <= now) {
+    /// Removes the oldest rosters once they have been stopped for `STOPPED_RETENTION`.
+    pub(crate) fn prune(&mut self, now: Time) {
+        while self.next_prune().is_some_and(|due| due <= now) {
             if let Some(oldest) = self.earlier.pop() {
-                self.folded = oldest.roster.version;
-                self.floor = self.floor.max(oldest.stopped);
+                self.pruned = oldest.roster.version;
+                self.older_stopped = self.older_stopped.max(oldest.stopped);
             }
         }
-        let folded = self.folded;
-        self.covers.retain(|cover| cover.roster > folded);
+        let pruned = self.pruned;
+        self.covers.retain(|cover| cover.roster > pruned);
     }
 
-    // A process that skipped rosters does not know when they stopped, only that those missing
-    // from a complete lineage have. A transfer from a member that saw them moves the floor back.
-    fn link(&mut self, now: Time, newly: bool, lineage: &Lineage) {
+    // A process that skipped rosters knows only that those missing from a complete lineage have
+    // stopped by now, not when. A transfer from a member that saw them supplies the earlier time.
+    fn update_complete(&mut self, now: Time, newly: bool, lineage: &Lineage) {
         let newest = lineage.earlier.iter().map(|roster| roster.version).max();
         let linked = match &self.current {
             None => newest.is_none() && self.origin == Origin::Created,
@@ -238,22 +241,23 @@
         };
         let complete = linked || (lineage.complete && newest.is_some());
         if complete && !linked {
-            self.floor = self.floor.max(Some(now));
+            self.older_stopped = self.older_stopped.max(Some(now));
         }
         self.complete = complete;
     }
 
-    fn remember(&mut self, roster: Arc<Roster>) {
+    fn insert_earlier(&mut self, roster: Arc<Roster>) {
         let version = roster.version;
-        if version <= self.folded || version >= self.version() || self.roster(version).is_some() {
+        if version <= self.pruned || version >= self.version() || self.roster(version).is_some() {
             return;
         }
         let place = self.earlier.partition_point(|e| e.roster.version > version);
         let stopped = None;
-        self.earlier.insert(place, Earlier { roster, stopped });
+        self.earlier
+            .insert(place, EarlierRoster { roster, stopped });
     }
 
-    fn observe(&mut self, now: Time) {
+    fn mark_stopped(&mut self, now: Time) {
         let current = self.version();
         let adopted = &self.adopted;
         let own = &self.agent.host;
@@ -265,7 +269,7 @@
             let members = &earlier.roster.members;
             let count = members.keys().filter(|host| moved(host, version)).count();
             if count >= activation_quorum(members.len()) {
-                earlier.stopped.get_or_insert(now + longer(LEASE));
+                earlier.stopped.get_or_insert(now + upper_bound(LEASE));
             }
         }
     }
@@ -279,9 +283,9 @@
         covers.any(|c| c.roster == version && c.owner == *owner && c.path.iter().all(passed))
     }
 
-    fn vouched(&self, now: Time) -> Option<Span> {
+    fn older_stop_age(&self, now: Time) -> Option<Span> {
         if self.complete {
-            self.floor.map(|floor| now - floor)
+            self.older_stopped.map(|older_stopped| now - older_stopped)
         } else {
             Some(Span::ZERO)
         }
--- a/crates/dedupe/src/lease.rs
+++ b/crates/dedupe/src/lease.rs
@@ -10,13 +10,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Lapsed;
 
-/// State of a lease with a quorum; it knows when it ends.
+/// State of a lease with a quorum, with the time at which it ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Held {
     until: Time,
 }
 
-/// An owner's right to act on one roster version, renewed by acknowledged heartbeats.
+/// An owner's right to grant keys under one roster version, renewed by acknowledged heartbeats.
 ///
 /// ```
 /// use std::sync::Arc;
@@ -46,9 +46,9 @@
 }
 
 impl<S> Lease<S> {
-    /// Records an acknowledgement of an own heartbeat.
+    /// Records an acknowledgement of a heartbeat of this agent.
     ///
-    /// Counts it only when the peer has adopted this very roster and the heartbeat was sent
+    /// Counts it only when the peer has adopted the same roster version and the heartbeat was sent
     /// after this process adopted it.
     ///
     /// ```
@@ -78,7 +78,7 @@
         self
     }
 
-    /// Moves to the state that the acknowledgements received so far justify.
+    /// Recomputes the state from the acknowledgements received so far.
     ///
     /// ```
     /// # use std::sync::Arc;
@@ -91,8 +91,8 @@
     /// ```
     pub fn renew(self, now: Time) -> Renewal {
         match self.expiry(now).filter(|until| *until > now) {
-            Some(until) => Renewal::Held(self.with(Held { until })),
-            None => Renewal::Lapsed(self.with(Lapsed)),
+            Some(until) => Renewal::Held(self.with_state(Held { until })),
+            None => Renewal::Lapsed(self.with_state(Lapsed)),
         }
     }
 
@@ -111,7 +111,7 @@
         self.roster.version
     }
 
-    // The own vote counts as given now: this process stops when it adopts a newer roster.
+    // This process counts as having acknowledged `now`, because it stops when it adopts a newer roster.
     fn expiry(&self, now: Time) -> Option<Time> {
         if !is_member(&self.roster, &self.agent) {
             return None;
@@ -124,7 +124,7 @@
         Some(*decisive + LEASE)
     }
 
-    fn with<T>(self, state: T) -> Lease<T> {
+    fn with_state<T>(self, state: T) -> Lease<T> {
         Lease {
             agent: self.agent,
             roster: self.roster,
@@ -136,7 +136,7 @@
 }
 
 impl Lease<Lapsed> {
-    /// A lease that no member has acknowledged yet.
+    /// Creates a lease that no member has acknowledged yet.
     ///
     /// ```
     /// # use std::sync::Arc;
@@ -159,8 +159,8 @@
 }
 
 impl Lease<Held> {
-    /// Time left, zero when the lease has ended.
-    pub fn rest(&self, now: Time) -> Span {
+    /// Time left; zero when the lease has ended.
+    pub fn remaining(&self, now: Time) -> Span {
         self.state.until - now
     }
 }
--- a/crates/dedupe/src/ledger.rs
+++ b/crates/dedupe/src/ledger.rs
@@ -7,8 +7,8 @@
 };
 
 use crate::action::{Counter, LedgerAction};
+use crate::eligibility::Eligibility;
 use crate::event::{LedgerEvent, Lineage};
-use crate::gate::Gate;
 use crate::handover::Handovers;
 use crate::history::History;
 use crate::lease::{Lease, Renewal};
@@ -39,7 +39,7 @@
 }
 
 impl Ledger {
-    /// A ledger without a roster.
+    /// Creates a ledger without a roster.
     ///
     /// ```
     /// use usher_dedupe::{Agent, Ledger, Origin};
@@ -107,12 +107,14 @@
         let timers = [
             self.table.next_due(),
             self.handovers.next_due(),
-            self.history.next_fold(),
+            self.history.next_prune(),
         ];
         timers.into_iter().flatten().min()
     }
 
-    /// Earlier rosters that may have an active owner; a roster's writer keeps them in its lineage.
+    /// Earlier rosters whose owners may still grant keys.
+    ///
+    /// An agent that writes the next roster lists them as its earlier rosters.
     ///
     /// ```
     /// use usher_dedupe::{Agent, Ledger, Origin};
@@ -163,7 +165,7 @@
 
     fn advance(&mut self, now: Time) -> Vec<LedgerAction> {
         self.lease = self.lease.take().map(|lease| lease.renew(now));
-        self.history.fold(now);
+        self.history.prune(now);
         let abandoned = self.table.expire(now);
         vec![LedgerAction::Count(Counter::Abandoned); abandoned]
     }
@@ -212,7 +214,7 @@
         ]
     }
 
-    // Claims that their holder has replaced get no verdict.
+    // Claims that their holder has replaced by newer ones get no verdict.
     fn decide(&mut self, now: Time, claim: &Claim) -> Option<(Decision, Counter)> {
         if !self.owns(claim.key) {
             let version = self.history.version();
@@ -261,11 +263,11 @@
     }
 
     fn grant(&mut self, now: Time, claim: &Claim, holder: Agent) -> (Decision, Counter) {
-        let standing = self.history.standing(now, claim.key);
-        match Gate::of(now, standing, self.lease.as_ref(), claim) {
-            Gate::Wait(span) => (Decision::Wait(span), Counter::Deferred),
-            Gate::Stale => (Decision::Unknown, Counter::Stale),
-            Gate::Open(span) => {
+        let predecessors = self.history.predecessors(now, claim.key);
+        match Eligibility::of(now, predecessors, self.lease.as_ref(), claim) {
+            Eligibility::Wait(span) => (Decision::Wait(span), Counter::Deferred),
+            Eligibility::Stale => (Decision::Unknown, Counter::Stale),
+            Eligibility::Grantable(span) => {
                 let (sent, attempt) = (claim.sent, claim.attempt);
                 let state = State::Granted {
                     holder,
@@ -303,7 +305,7 @@
         vec![LedgerAction::Completed { to, completed }]
     }
 
-    // Only the process that has the grant can give it back.
+    // Only the process that holds the grant can release it.
     fn release(&mut self, now: Time, complete: Complete) {
         let releaser = Agent {
             host: complete.holder,
@@ -329,7 +331,7 @@
         }
     }
 
-    // A transfer ahead of the adopted roster is not acknowledged, so it comes again.
+    // A transfer under a roster newer than the adopted one gets no acknowledgement and is sent again.
     fn take_over(&mut self, now: Time, transfer: Transfer) -> Option<LedgerAction> {
         if transfer.to != self.agent || !self.history.receive(now, &transfer) {
             return None;
--- a/crates/dedupe/src/ownership.rs
+++ b/crates/dedupe/src/ownership.rs
@@ -3,12 +3,12 @@
 use serde::{Deserialize, Serialize};
 use usher_types::{HostId, Incarnation, RequestKey, Roster, Weight};
 
-/// One agent process: a later process on the same host knows none of its records.
+/// One agent process; a later process on the same host has none of its records.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Agent {
     /// The agent's host.
     pub host: HostId,
-    /// Tells successive processes on the host apart.
+    /// Distinguishes successive processes on the host.
     pub incarnation: Incarnation,
 }
 
@@ -42,7 +42,7 @@
         .is_some_and(|member| member.incarnation == agent.incarnation)
 }
 
-/// Members whose acknowledgements make a lease.
+/// Number of members whose acknowledgements are needed for a lease.
 pub(crate) const fn lease_quorum(members: usize) -> usize {
     if members <= 2 {
         members
@@ -51,7 +51,9 @@
     }
 }
 
-/// Members whose adoption of a newer roster ends all leases; intersects every lease quorum.
+/// Number of members whose adoption of a newer roster ends all leases.
+///
+/// Any such group of members intersects every lease quorum.
 pub(crate) const fn activation_quorum(members: usize) -> usize {
     match members {
         0 => 0,
--- a/crates/dedupe/src/record.rs
+++ b/crates/dedupe/src/record.rs
@@ -2,14 +2,14 @@
 use usher_types::{Attempt, Outcome, Span, Time};
 
 use crate::Agent;
-use crate::limits::ANSWER_LIMIT;
+use crate::limits::MAX_ANSWER_BYTES;
 
 /// What an owner knows about a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// A holder may start it, or has started it.
+    /// A holder may start the request, or has started it.
     Granted {
-        /// The process that may start it.
+        /// The process that may start the request.
         holder: Agent,
         /// `sent` of its claim.
         sent: Time,
@@ -18,27 +18,27 @@
         /// Transmission of the request that it was granted to.
         attempt: Attempt,
     },
-    /// A holder gave the grant back without having started it.
+    /// A holder released the grant without having started the request.
     Released {
-        /// The process that gave it back.
+        /// The process that released it.
         holder: Agent,
-        /// Its claims up to this time are void.
+        /// Claims that it sent up to this time are ignored.
         sent: Time,
-        /// The caller of this and earlier transmissions was told "not run".
+        /// Latest transmission whose caller was told "not run"; this covers all earlier ones.
         attempt: Attempt,
     },
-    /// It has run.
+    /// The request has run.
     Finished(Outcome),
-    /// It may have run, and its answer is not known.
+    /// The request may have run, and its answer is not known.
     Unknown,
 }
 
-/// A record as handed over, with times relative to the sender's clock.
+/// A key's state as handed over to another owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// What is known.
     pub state: State,
-    /// Time since it has been in this state.
+    /// Time since the key entered this state, by the sender's clock.
     pub elapsed: Span,
 }
 
@@ -46,17 +46,17 @@
     /// The state that a reported outcome other than `NotRun` leads to.
     pub(crate) fn of(outcome: Outcome) -> Self {
         match &outcome {
-            Outcome::Answered(body) | Outcome::Failed(body) if body.len() <= ANSWER_LIMIT => {
+            Outcome::Answered(body) | Outcome::Failed(body) if body.len() <= MAX_ANSWER_BYTES => {
                 Self::Finished(outcome)
             }
             _ => Self::Unknown,
         }
     }
 
-    /// Combines two owners' knowledge of one key, towards refusal.
+    /// Merges two owners' states of one key into the one that refuses more claims.
     ///
-    /// Two different grants show that one was given back after its record was copied. Which one
-    /// is not known, so neither holder may replace its grant.
+    /// Two different grants show that one was released after its record was copied. It is not known
+    /// which one, so neither holder may replace its grant.
     pub(crate) fn merge(self, other: Self) -> Self {
         match (self, other) {
             (Self::Finished(outcome), _) | (_, Self::Finished(outcome)) => Self::Finished(outcome),
--- a/crates/dedupe/src/ask.rs
+++ b/crates/dedupe/src/request.rs
@@ -1,13 +1,13 @@
 use usher_types::{Attempt, Claim, Outcome, Span, Time};
 
-use crate::limits::{RESEND, RESEND_MAX};
+use crate::limits::{RESEND_DELAY, RESEND_DELAY_MAX};
 
-/// A request's way from the first claim to its recorded outcome.
+/// Progress of a request from its first claim to its recorded outcome.
 #[derive(Debug, Clone)]
 pub(crate) enum Phase {
-    /// A claim is under way.
+    /// A claim was sent and awaits its verdict.
     Claiming(Claim),
-    /// The next claim follows when the entry is due.
+    /// The next claim is sent when the request is due.
     Pausing,
     /// The request may be dispatched or has been.
     Permitted {
@@ -20,47 +20,47 @@
         outcome: Outcome,
         give_up: Time,
     },
-    /// The key has run here; it is never claimed again.
+    /// The request has run here, or may have run, and is not claimed again.
     Done(Outcome),
 }
 
-/// One key of a holder.
+/// A request of a holder.
 #[derive(Debug, Clone)]
-pub(crate) struct Ask {
+pub(crate) struct Request {
     pub(crate) attempt: Attempt,
     pub(crate) age: Span,
-    pub(crate) asked: Time,
+    pub(crate) received: Time,
     pub(crate) deadline: Time,
-    /// A second request waits for the same outcome.
-    pub(crate) shared: bool,
+    /// A second request with the same key waits for the outcome.
+    pub(crate) has_waiter: bool,
     /// Another holder had a grant when the owner last answered.
-    pub(crate) elsewhere: bool,
+    pub(crate) held_elsewhere: bool,
     /// `sent` of the last claim, if one was sent.
-    pub(crate) claimed: Option<Time>,
+    pub(crate) last_claim: Option<Time>,
     pub(crate) phase: Phase,
     pub(crate) due: Time,
     pub(crate) pause: Span,
 }
 
-impl Ask {
+impl Request {
     pub(crate) fn new(now: Time, attempt: Attempt, age: Span, deadline: Time) -> Self {
         Self {
             attempt,
             age,
-            asked: now,
+            received: now,
             deadline,
-            shared: false,
-            elsewhere: false,
-            claimed: None,
+            has_waiter: false,
+            held_elsewhere: false,
+            last_claim: None,
             phase: Phase::Pausing,
             due: now,
-            pause: RESEND,
+            pause: RESEND_DELAY,
         }
     }
 
-    /// Plans the next transmission, after twice the last pause.
+    /// Schedules the next transmission and doubles the pause after it.
     pub(crate) fn back_off(&mut self, now: Time) {
         self.due = now + self.pause;
-        self.pause = (self.pause * 2).min(RESEND_MAX);
+        self.pause = (self.pause * 2).min(RESEND_DELAY_MAX);
     }
 }
--- a/crates/dedupe/src/stall.rs
+++ b/crates/dedupe/src/stall.rs
@@ -1,36 +1,39 @@
 use usher_types::{Span, Time};
 
-use crate::limits::SILENCE;
+use crate::limits::STALL_THRESHOLD;
 
-// Half of the silence that counts as a pause, so that a late timer does not look like one.
-const TICK: Span = Span::from_secs(1);
-// Time in which a process that runs again reads what its sockets hold.
-const CATCH_UP: Span = Span::from_secs(5);
+// Half of `STALL_THRESHOLD`, so that a late timer is not taken for a pause.
+const TICK_INTERVAL: Span = Span::from_secs(1);
+// Time in which a resumed process reads the packets that wait in its sockets.
+const CATCH_UP_WINDOW: Span = Span::from_secs(5);
 
-/// Pauses of this process, during which packets wait in its sockets and their age stands still.
+/// Detects pauses of this process, which are missing from the age of packets in its sockets.
 #[derive(Debug, Default)]
-pub(crate) struct Stall {
-    last: Option<Time>,
-    length: Span,
-    until: Time,
+pub(crate) struct StallDetector {
+    last_event: Option<Time>,
+    understated: Span,
+    expires: Time,
 }
 
-impl Stall {
-    /// Notes that the process runs; returns by how much ages of requests may be understated.
+impl StallDetector {
+    /// Records an event; returns by how much ages of requests may be understated.
     pub(crate) fn observe(&mut self, now: Time) -> Span {
-        let silence = self.last.map_or(Span::ZERO, |last| now - last);
-        if now >= self.until {
-            self.length = Span::ZERO;
+        let gap = self
+            .last_event
+            .map_or(Span::ZERO, |last_event| now - last_event);
+        if now >= self.expires {
+            self.understated = Span::ZERO;
         }
-        if silence >= SILENCE {
-            self.length = self.length + silence;
-            self.until = now + CATCH_UP;
+        if gap >= STALL_THRESHOLD {
+            self.understated = self.understated + gap;
+            self.expires = now + CATCH_UP_WINDOW;
         }
-        self.last = self.last.max(Some(now));
-        self.length
+        self.last_event = self.last_event.max(Some(now));
+        self.understated
     }
 
     pub(crate) fn next_timer(&self) -> Time {
-        self.last.map_or(Time::ZERO, |last| last + TICK)
+        self.last_event
+            .map_or(Time::ZERO, |last_event| last_event + TICK_INTERVAL)
     }
 }
--- a/crates/dedupe/src/transfer.rs
+++ b/crates/dedupe/src/transfer.rs
@@ -3,16 +3,16 @@
 
 use crate::{Agent, Record};
 
-/// States that all records of an owner under one roster are included.
+/// Declares that all records of an owner under one roster are included.
 ///
-/// It holds for the keys that the owner and every agent of the path owned in turn.
+/// It applies to the keys that the owner and then every agent of the path owned in turn.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cover {
     /// Roster under which the owner granted.
     pub roster: Version,
     /// The owner whose records are included.
     pub owner: Agent,
-    /// Rosters and agents through which the records came.
+    /// Rosters and agents through which the records were handed over.
     pub path: Vec<(Version, Agent)>,
 }
 
@@ -27,7 +27,7 @@
     pub roster: Version,
     /// Earlier owners whose records are complete in this transfer.
     pub covers: Vec<Cover>,
-    /// Earlier rosters that the sender still distinguishes; the receiver may have skipped some.
+    /// Earlier rosters that the sender still keeps; the receiver may have skipped some.
     pub rosters: Vec<PastRoster>,
     /// Time since all rosters older than those had stopped; `None` when there were none.
     pub since: Option<Span>,
