--- a/crates/dedupe/tests/dedupe/claimant.rs
+++ b/crates/dedupe/tests/dedupe/claimant.rs
@@ -102,7 +102,7 @@
     }
 }
 
-/// Guards against the fault that each row names.
+/// Guards against the fault that each case of the table names.
 #[test]
 fn claimant_follows_the_table() {
     let cases: Vec<Case> =
--- a/crates/dedupe/tests/dedupe/ledger.rs
+++ b/crates/dedupe/tests/dedupe/ledger.rs
@@ -233,7 +233,7 @@
     })
 }
 
-/// Guards against the fault that each row names.
+/// Guards against the fault that each case of the table names.
 #[test]
 fn ledger_follows_the_table() {
     let cases: Vec<Case> =
--- a/crates/dedupe/tests/dedupe/main.rs
+++ b/crates/dedupe/tests/dedupe/main.rs
@@ -1,8 +1,8 @@
-//! Tests of the ledger and the claimant, alone by tables and together under faults.
+//! Tests of the ledger and the claimant: each alone by a table, both together under random faults.
 
 mod claimant;
 mod fixture;
 mod ledger;
 mod process;
 mod property;
-mod world;
+mod simulation;
--- a/crates/dedupe/tests/dedupe/process.rs
+++ b/crates/dedupe/tests/dedupe/process.rs
@@ -11,8 +11,8 @@
     pub ledger: Ledger,
     pub claimant: Claimant,
     pub roster: Option<Arc<Roster>>,
-    pub resumes: u64,
-    wake: u64,
+    pub resume_at: u64,
+    wake_at: u64,
 }
 
 impl Process {
@@ -26,8 +26,8 @@
             claimant: Claimant::new(agent.clone(), address(&agent.host)),
             agent,
             roster: None,
-            resumes: 0,
-            wake: 0,
+            resume_at: 0,
+            wake_at: 0,
         }
     }
 
@@ -48,7 +48,7 @@
             .map(index_of)
     }
 
-    /// Only a member acknowledges: a new process may have learned an older roster.
+    /// Acknowledges a beat if this process is a member; a new one may know only an older roster.
     pub fn acknowledge(&self, sent: Time) -> Option<BeatAck> {
         let roster = self.roster.as_ref()?;
         let member = roster.members.get(&self.agent.host)?;
@@ -66,15 +66,17 @@
         let timer = timers.into_iter().flatten().min()?;
         let local = (timer - self.clock(now)).as_micros();
         let at = now + local + local / 100 + 1;
-        if self.wake > now && self.wake <= at {
+        if self.wake_at > now && self.wake_at <= at {
             return None;
         }
-        self.wake = at;
+        self.wake_at = at;
         Some(at)
     }
 }
 
-/// A host's clock, which outlives its agents: rates differ by at most 1 %, offsets by days.
+/// Reads a host's clock, which outlives its agents.
+///
+/// The rates of the clocks differ by at most 1 %, their offsets by days.
 pub fn clock_of(host: usize, now: u64) -> Time {
     let rate = 0.995 + 0.001 * (host * 7 % 10) as f64;
     Time::from_micros((now as f64 * rate) as u64 + host as u64 * 1_000_000_000_000)
--- a/crates/dedupe/tests/dedupe/property.rs
+++ b/crates/dedupe/tests/dedupe/property.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::{Just, ProptestConfig, Strategy, any, prop_oneof, proptest};
 use proptest::{collection, prop_assert};
 
-use crate::world::{Fault, SEC, World};
+use crate::simulation::{Fault, SEC, Simulation};
 
 const HOSTS: usize = 6;
 const LENGTH: u64 = 400 * SEC;
@@ -14,8 +14,8 @@
         2 => Just(Fault::Crash),
         3 => Just(Fault::Start),
         2 => Just(Fault::Leave),
-        2 => Just(Fault::Remove),
-        2 => Just(Fault::Readd),
+        2 => Just(Fault::RemoveMember),
+        2 => Just(Fault::AddMember),
     ];
     (20 * SEC..LENGTH - 60 * SEC, 0..HOSTS, kind)
 }
@@ -42,37 +42,37 @@
         faults in collection::vec(fault(), 0..14),
         requests in collection::vec(attempts(), 150..200),
     ) {
-        let mut world = World::new(seed, HOSTS, members, true);
+        let mut simulation = Simulation::new(seed, HOSTS, members, true);
         for (at, host, fault) in faults {
-            world.fault(at, host, fault);
+            simulation.fault(at, host, fault);
         }
         for (key, attempts) in requests.iter().enumerate() {
-            world.request(key as u128 + 1, attempts);
+            simulation.request(key as u128 + 1, attempts);
         }
-        world.run(LENGTH);
-        let twice: Vec<_> = world.tally.runs.iter().filter(|(_, runs)| **runs > 1).collect();
+        simulation.run(LENGTH);
+        let twice: Vec<_> = simulation.results.runs.iter().filter(|(_, runs)| **runs > 1).collect();
         prop_assert!(twice.is_empty(), "ran more than once: {twice:?}");
     }
 
-    /// Guards against a ledger that is safe because it grants nothing.
+    /// Guards against a ledger that prevents second runs by refusing fresh claims.
     #[test]
     fn without_faults_every_fresh_claim_is_granted(
         seed in any::<u64>(),
         members in 1..HOSTS,
-        leaver in any::<bool>(),
+        departure in any::<bool>(),
     ) {
-        let mut world = World::new(seed, HOSTS, members, false);
-        // Planned departures and returns hand records over and cost no freshness.
-        if leaver && members > 1 {
-            world.fault(90 * SEC, 0, Fault::Leave);
-            world.fault(93 * SEC, 0, Fault::Start);
+        let mut simulation = Simulation::new(seed, HOSTS, members, false);
+        // A planned departure and return hands records over, so that no fresh claim is refused.
+        if departure && members > 1 {
+            simulation.fault(90 * SEC, 0, Fault::Leave);
+            simulation.fault(93 * SEC, 0, Fault::Start);
         }
         for key in 0..60 {
             let at = 95 * SEC + key * SEC / 2;
-            world.request(u128::from(key) + 1, &[(at, key as usize % members)]);
+            simulation.request(u128::from(key) + 1, &[(at, key as usize % members)]);
         }
-        world.run(LENGTH);
-        prop_assert!(world.tally.permits.len() == 60, "{:?}", world.tally);
-        prop_assert!(world.tally.runs.len() == 60);
+        simulation.run(LENGTH);
+        prop_assert!(simulation.results.permits.len() == 60, "{:?}", simulation.results);
+        prop_assert!(simulation.results.runs.len() == 60);
     }
 }
--- a/crates/dedupe/tests/dedupe/world.rs
+++ b/crates/dedupe/tests/dedupe/simulation.rs
@@ -9,9 +9,11 @@
 use crate::fixture::{host_id, index, index_of, member, outcome};
 use crate::process::{Process, clock_of};
 
+/// Microseconds in a millisecond; all `u64` times of the simulation are in microseconds.
 pub const MS: u64 = 1_000;
+/// Microseconds in a second.
 pub const SEC: u64 = 1_000 * MS;
-const LIFETIME: u64 = 30 * SEC;
+const PACKET_LIFETIME: u64 = 30 * SEC;
 const START: u64 = 1_000 * SEC;
 
 /// A fault or planned change, applied to one host.
@@ -21,78 +23,78 @@
     Crash,
     Start,
     Leave,
-    Remove,
-    Readd,
+    RemoveMember,
+    AddMember,
 }
 
 #[derive(Debug, Clone)]
 enum Task {
     Ledger(LedgerEvent),
     Claimant(ClaimantEvent),
-    Hear(usize, Version, Time),
-    Acked(BeatAck),
+    ReceiveBeat(usize, Version, Time),
+    ReceiveAck(BeatAck),
     Request(RequestKey, Attempt, Span),
     Tick,
     Beat,
-    Learn,
+    AdoptRoster,
     Start(RequestKey, Time),
     Fault(Fault),
 }
 
-/// What happened to requests.
+/// Runs of each request, and the requests that were permitted.
 #[derive(Debug, Default)]
-pub struct Tally {
+pub struct Results {
     pub runs: BTreeMap<RequestKey, u32>,
     pub permits: BTreeSet<RequestKey>,
 }
 
-/// Several agents connected in memory, in virtual time, with disturbances drawn from a seed.
-pub struct World {
+/// Simulates several agents in memory and in virtual time, with faults drawn from a seed.
+pub struct Simulation {
     rng: TestRng,
     faulty: bool,
     now: u64,
-    next: u64,
+    sequence: u64,
     tasks: BTreeMap<(u64, u64), (usize, Task)>,
     hosts: Vec<Option<Process>>,
     incarnations: Vec<u64>,
     store: Option<Lineage>,
-    pub tally: Tally,
+    pub results: Results,
 }
 
-impl World {
-    /// Hosts of which the first `members` join one after the other.
+impl Simulation {
+    /// Creates hosts, of which the first `members` join one after the other.
     pub fn new(seed: u64, hosts: usize, members: usize, faulty: bool) -> Self {
         let mut bytes = [0; 32];
         bytes[..8].copy_from_slice(&seed.to_le_bytes());
-        let mut world = Self {
+        let mut simulation = Self {
             rng: TestRng::from_seed(RngAlgorithm::ChaCha, &bytes),
             faulty,
             now: START,
-            next: 0,
+            sequence: 0,
             tasks: BTreeMap::new(),
             hosts: (0..hosts).map(|_| None).collect(),
             incarnations: vec![0; hosts],
             store: None,
-            tally: Tally::default(),
+            results: Results::default(),
         };
         for host in 0..members {
-            world.fault(host as u64 * 100 * MS, host, Fault::Start);
+            simulation.fault(host as u64 * 100 * MS, host, Fault::Start);
         }
-        world
+        simulation
     }
 
     pub fn fault(&mut self, at: u64, host: usize, fault: Fault) {
         self.schedule(START + at, host, Task::Fault(fault));
     }
 
-    /// A caller's attempts for one key, `(time, host)` each; the first one starts its age.
+    /// Schedules a caller's attempts for one key, `(time, host)` each; `age` counts from the first.
     pub fn request(&mut self, key: u128, attempts: &[(u64, usize)]) {
         let key = RequestKey::new(key);
         for (index, (at, host)) in attempts.iter().enumerate() {
             let age = Span::from_micros(at - attempts[0].0).scale(0.995);
             let attempt = Attempt::new(index as u16 + 1);
             let late = if self.chance(15) {
-                self.below(LIFETIME)
+                self.below(PACKET_LIFETIME)
             } else {
                 MS
             };
@@ -106,12 +108,12 @@
                 return;
             }
             self.now = at;
-            let resumes = self.hosts[host].as_ref().map(|process| process.resumes);
-            match (task, resumes) {
+            let resume_at = self.hosts[host].as_ref().map(|process| process.resume_at);
+            match (task, resume_at) {
                 (Task::Fault(fault), _) => self.apply(host, fault),
-                // The backend server starts work although its agent is paused or has crashed.
+                // The backend server starts work even when its agent is paused or has crashed.
                 (Task::Start(key, start_by), _) => self.start(host, key, start_by),
-                (task, Some(resumes)) if resumes > at => self.schedule(resumes, host, task),
+                (task, Some(resume_at)) if resume_at > at => self.schedule(resume_at, host, task),
                 (task, Some(_)) => self.perform(host, task),
                 (_, None) => {}
             }
@@ -123,7 +125,7 @@
             Fault::Pause(span) => {
                 let until = self.now + span;
                 if let Some(process) = &mut self.hosts[host] {
-                    process.resumes = process.resumes.max(until);
+                    process.resume_at = process.resume_at.max(until);
                 }
             }
             Fault::Crash => self.hosts[host] = None,
@@ -138,21 +140,21 @@
                 let process = Process::new(host, self.incarnations[host], origin);
                 self.hosts[host] = Some(process);
                 self.write(host, true);
-                self.perform(host, Task::Learn);
+                self.perform(host, Task::AdoptRoster);
                 self.perform(host, Task::Beat);
             }
             Fault::Start => {}
             Fault::Leave => {
                 self.ledger(host, LedgerEvent::Drain);
                 self.write(host, false);
-                self.perform(host, Task::Learn);
+                self.perform(host, Task::AdoptRoster);
             }
-            Fault::Remove => self.write(host, false),
-            Fault::Readd => self.write(host, true),
+            Fault::RemoveMember => self.write(host, false),
+            Fault::AddMember => self.write(host, true),
         }
     }
 
-    // Store versions are not consecutive.
+    // Increases the version by 3, because the versions in the store are not consecutive.
     fn write(&mut self, host: usize, present: bool) {
         let mut roster = Roster::default();
         let mut earlier = Vec::new();
@@ -183,24 +185,24 @@
     fn prune(&self, lineage: &Lineage) -> Vec<Arc<Roster>> {
         let version = lineage.roster.version;
         let mut live = self.hosts.iter().flatten();
-        let writer = live.find(|p| p.resumes <= self.now && p.version() == version);
+        let writer = live.find(|p| p.resume_at <= self.now && p.version() == version);
         let unsettled = writer.map(|p| p.ledger.unsettled(p.clock(self.now)));
         let kept = |r: &&Arc<Roster>| unsettled.as_ref().is_none_or(|u| u.contains(&r.version));
         lineage.earlier.iter().filter(kept).cloned().collect()
     }
 
-    // A group of members may hear of a roster long after the others, or skip it.
+    // A group of hosts may learn of a roster long after the others, or skip it.
     fn announce(&mut self) {
         let group = self.below(1 << self.hosts.len());
         let slow = self.chance(50);
-        let common = self.below(150 * SEC);
+        let group_lag = self.below(150 * SEC);
         for host in 0..self.hosts.len() {
             let lag = match (self.faulty, slow && group >> host & 1 == 1) {
                 (false, _) => 10 * MS,
                 (true, false) => self.below(5 * SEC),
-                (true, true) => common,
+                (true, true) => group_lag,
             };
-            self.schedule(self.now + lag, host, Task::Learn);
+            self.schedule(self.now + lag, host, Task::AdoptRoster);
         }
     }
 
@@ -226,9 +228,9 @@
                 };
                 self.claimant(host, ask);
             }
-            Task::Hear(from, roster, sent) => {
+            Task::ReceiveBeat(from, roster, sent) => {
                 if let Some(ack) = process.acknowledge(sent) {
-                    self.send(from, &Task::Acked(ack));
+                    self.send(from, &Task::ReceiveAck(ack));
                 }
                 let host_id = host_id(from);
                 self.ledger(
@@ -239,7 +241,7 @@
                     },
                 );
             }
-            Task::Acked(ack) => {
+            Task::ReceiveAck(ack) => {
                 let roster = ack.roster;
                 if let Peer::Host(host_id) = ack.from.clone() {
                     self.ledger(
@@ -256,11 +258,11 @@
                 let roster = process.version();
                 let peers: Vec<usize> = process.peers().collect();
                 for peer in peers {
-                    self.send(peer, &Task::Hear(host, roster, clock));
+                    self.send(peer, &Task::ReceiveBeat(host, roster, clock));
                 }
                 self.schedule(self.now + SEC, host, Task::Beat);
             }
-            Task::Learn => {
+            Task::AdoptRoster => {
                 if let Some(lineage) = self.store.clone() {
                     let roster = Arc::clone(&lineage.roster);
                     process.roster = Some(Arc::clone(&roster));
@@ -325,9 +327,9 @@
         self.wake(host);
     }
 
-    // A holder dispatches at once, late, or gives the grant back.
+    // A holder dispatches at once, dispatches late, or releases the grant.
     fn dispatch(&mut self, host: usize, key: RequestKey, start_by: Time) {
-        self.tally.permits.insert(key);
+        self.results.permits.insert(key);
         if self.chance(20) {
             return self.report(host, key, outcome("not-run"));
         }
@@ -340,7 +342,7 @@
         if clock_of(host, self.now) > start_by {
             return self.report(host, key, outcome("not-run"));
         }
-        *self.tally.runs.entry(key).or_default() += 1;
+        *self.results.runs.entry(key).or_default() += 1;
         self.report(host, key, outcome("answered"));
     }
 
@@ -355,7 +357,11 @@
         }
         let copies = if self.chance(10) { 2 } else { 1 };
         for _ in 0..copies {
-            let longest = if self.chance(5) { LIFETIME } else { 5 * MS };
+            let longest = if self.chance(5) {
+                PACKET_LIFETIME
+            } else {
+                5 * MS
+            };
             let delay = MS + self.below(longest);
             self.schedule(self.now + delay, to, task.clone());
         }
@@ -369,8 +375,8 @@
     }
 
     fn schedule(&mut self, at: u64, host: usize, task: Task) {
-        self.next += 1;
-        self.tasks.insert((at, self.next), (host, task));
+        self.sequence += 1;
+        self.tasks.insert((at, self.sequence), (host, task));
     }
 
     fn below(&mut self, bound: u64) -> u64 {
