--- a/crates/flows/src/action.rs
+++ b/crates/flows/src/action.rs
@@ -16,11 +16,11 @@
     },
     /// Sends a packet to the caller through the fabric.
     Send(Packet),
-    /// A whole message from the caller; given out once.
+    /// Passes a complete message from the caller to the service, exactly once.
     Deliver {
-        /// Where the message came in.
+        /// Flow and number of the message.
         id: RequestId,
-        /// The whole message.
+        /// The complete message.
         bytes: Vec<u8>,
     },
     /// Tells a balancer who holds a flow.
@@ -44,20 +44,20 @@
         /// The message.
         registered: Registered,
     },
-    /// Hands flows over to a host; report `HandedOver` or `HandoverFailed`.
+    /// Hands flows over to a host; answered by `Event::HandedOver` or `Event::HandoverFailed`.
     Handover {
         /// The receiver.
         host: HostId,
         /// The flows.
         transfer: Transfer,
     },
-    /// Answer to the handover that was received.
+    /// Acknowledges a received handover.
     TookOver {
-        /// Flows that the sender may discard and tombstones that it need not send elsewhere.
+        /// Flows the sender may discard and tombstones it need not send elsewhere.
         flows: Vec<FlowId>,
     },
-    /// The drain is complete: no flow and no directory entry is left here.
+    /// The drain is complete: nothing is left to hand over or finish.
     Drained,
-    /// Raises a counter by one.
+    /// Increments a counter.
     Count(Counter),
 }
--- a/crates/flows/src/counter.rs
+++ b/crates/flows/src/counter.rs
@@ -1,13 +1,13 @@
-/// Incidents that the table counts.
+/// Events that the flow table counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Counter {
     /// A flow was accepted.
     Accepted,
-    /// An `Open` was passed on to the second candidate.
+    /// An `Open` was forwarded to the second candidate.
     Hunted,
-    /// A flow was closed by its caller.
+    /// A caller closed its flow.
     Closed,
-    /// A flow expired without traffic.
+    /// A flow without traffic expired.
     Expired,
     /// A caller was told that no agent holds its flow.
     Reset,
@@ -15,23 +15,23 @@
     WrongService,
     /// Dropped: the relay is for an older generation of the address.
     OldGeneration,
-    /// Dropped: the flow is unknown and may be held elsewhere.
+    /// Dropped: the flow is unknown here, but another agent may hold it.
     UnknownFlow,
-    /// Dropped: the flow was closed before.
+    /// Dropped: the flow is already closed.
     LatePacket,
     /// Dropped: every current candidate is draining.
     NoCandidate,
     /// Dropped: the relay was forwarded too often.
     HopLimit,
-    /// Dropped: the body does not come from a caller, or the segment contradicts its message.
+    /// Dropped: a body that callers never send, or a segment contradicting its message.
     Malformed,
     /// Dropped: a limit on incomplete or unanswered messages is reached.
     Overflow,
     /// A segment or message was received again.
     Duplicate,
-    /// A reply could not be queued: its flow is gone or it is too long.
+    /// A reply was dropped: its flow or request is gone, or it is too long.
     ReplyDropped,
-    /// Another agent holds the flow too; this one hands its state over.
+    /// Another agent holds the same flow; this agent hands its state over.
     Conflict,
     /// A flow was taken over from another agent.
     TakenOver,
--- a/crates/flows/src/directory.rs
+++ b/crates/flows/src/directory.rs
@@ -3,31 +3,31 @@
 use indexmap::IndexMap;
 use usher_types::{FlowId, Time, Version};
 
-use crate::{Located, PACKET_LIFETIME};
+use crate::{FlowLocation, PACKET_LIFETIME};
 
-/// Where this agent believes that a flow is held.
+/// The last known holder of a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Entry {
     pub(crate) holder: SocketAddrV4,
     pub(crate) basis: Basis,
     pub(crate) roster: Version,
-    /// To whom the candidate of a hunted `Open` passes it on while draining.
-    next: Option<SocketAddrV4>,
+    /// Agent to which a draining holder forwards a hunted `Open`.
+    next_candidate: Option<SocketAddrV4>,
     until: Time,
 }
 
-/// What a directory entry rests on.
+/// How the holder in a directory entry became known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Basis {
-    /// An `Open` was passed on; the holder has not confirmed it.
+    /// This agent forwarded an `Open`; the holder has not confirmed the flow.
     Hunted,
     /// The holder registered the flow or acknowledged its handover.
     Confirmed,
-    /// The bucket's new owner asked for the flow and decides on it.
+    /// The bucket's new owner asked for the flow and decides where it opens.
     Probed,
 }
 
-/// Flows that are held by other agents.
+/// Holders of flows that other agents hold.
 #[derive(Debug, Default)]
 pub(crate) struct Directory {
     entries: IndexMap<FlowId, Entry>,
@@ -39,7 +39,7 @@
         (now < entry.until).then_some(*entry)
     }
 
-    /// Sets the holder of a flow. `roster` is the version by which it is a member.
+    /// Sets the holder of a flow, a member as of roster version `roster`.
     pub(crate) fn set(
         &mut self,
         flow: FlowId,
@@ -52,20 +52,24 @@
             holder,
             basis,
             roster,
-            next: None,
+            next_candidate: None,
             until,
         };
         self.entries.insert(flow, entry);
     }
 
-    /// Names the candidate that follows the holder of a hunted flow.
-    pub(crate) fn set_next(&mut self, flow: &FlowId, next: Option<SocketAddrV4>) {
+    /// Sets the candidate that follows the holder of a hunted flow.
+    pub(crate) fn set_next_candidate(
+        &mut self,
+        flow: &FlowId,
+        next_candidate: Option<SocketAddrV4>,
+    ) {
         if let Some(entry) = self.entries.get_mut(flow) {
-            entry.next = next;
+            entry.next_candidate = next_candidate;
         }
     }
 
-    /// Extends an entry that is in use.
+    /// Extends the lifetime of an entry that is in use.
     pub(crate) fn touch(&mut self, flow: &FlowId, until: Time) {
         if let Some(entry) = self.entries.get_mut(flow) {
             entry.until = entry.until.max(until);
@@ -76,7 +80,7 @@
         self.entries.swap_remove(flow);
     }
 
-    /// Lets an entry expire after the packet lifetime, so that a late `Open` finds it.
+    /// Shortens an entry to the packet lifetime; a late `Open` still finds it.
     pub(crate) fn retire(&mut self, now: Time, flow: &FlowId, holder: SocketAddrV4) {
         if let Some(entry) = self.entries.get_mut(flow)
             && entry.holder == holder
@@ -85,22 +89,22 @@
         }
     }
 
-    /// Drops entries of holders that have left under a roster version.
+    /// Drops entries whose holder is no longer a member under a roster version.
     ///
-    /// A draining agent passes a hunted `Open` on to the next candidate and leaves before that one
-    /// registers, so a note of a hunt names the next candidate instead.
+    /// A draining agent forwards a hunted `Open` to the next candidate and may leave before that
+    /// candidate registers. A `Hunted` entry is therefore changed to name the next candidate.
     pub(crate) fn retain(
         &mut self,
         roster: Version,
         remains: impl Fn(SocketAddrV4) -> bool,
-        next: impl Fn(&FlowId) -> Option<SocketAddrV4>,
+        successor: impl Fn(&FlowId) -> Option<SocketAddrV4>,
     ) {
         self.entries.retain(|flow, entry| {
             if entry.roster > roster || remains(entry.holder) {
                 return true;
             }
-            let passed_on = entry.next.take().filter(|agent| remains(*agent));
-            match passed_on.or_else(|| next(flow)) {
+            let passed_to = entry.next_candidate.take().filter(|agent| remains(*agent));
+            match passed_to.or_else(|| successor(flow)) {
                 Some(holder) if entry.basis == Basis::Hunted => {
                     entry.holder = holder;
                     true
@@ -114,12 +118,12 @@
         self.entries.retain(|_, entry| now < entry.until);
     }
 
-    /// Entries that the next owners of their buckets need.
-    pub(crate) fn located(&self, now: Time) -> Vec<Located> {
+    /// Entries to hand to the next owners of their buckets.
+    pub(crate) fn locations(&self, now: Time) -> Vec<FlowLocation> {
         self.entries
             .iter()
             .filter(|(_, entry)| now < entry.until && entry.basis != Basis::Probed)
-            .map(|(flow, entry)| Located {
+            .map(|(flow, entry)| FlowLocation {
                 flow: *flow,
                 holder: entry.holder,
             })
--- a/crates/flows/src/event.rs
+++ b/crates/flows/src/event.rs
@@ -10,23 +10,23 @@
 /// Input of the flow table.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A caller's packet, from a balancer or another agent.
+    /// A caller's packet, received from a balancer or another agent.
     Relay(Relay),
     /// The service's roster; older versions are ignored.
     Roster(Arc<Roster>),
-    /// Every member has adopted this roster version; starts the settle time.
+    /// Every member has adopted this roster version; the settle time starts.
     Adopted(Version),
-    /// Oldest generation of the service's address that is served; never goes back.
+    /// Oldest generation of the service's address that is served; lower values are ignored.
     Generation(Generation),
-    /// Own estimated queue wait.
+    /// Estimated queue wait of this host.
     Wait(Span),
-    /// Message to the caller in answer to a delivered one.
+    /// The service's reply to a delivered message.
     ///
-    /// Empty bytes send nothing and only mark the message as answered.
+    /// An empty reply is not sent; it only marks the message as answered.
     Reply {
-        /// Where the message came in.
+        /// Flow and number of the answered message.
         id: RequestId,
-        /// The whole answer.
+        /// The complete reply.
         bytes: Vec<u8>,
     },
     /// Another agent registers a flow.
@@ -52,13 +52,13 @@
         /// Flows listed in its `TookOver`.
         flows: Vec<FlowId>,
     },
-    /// No acknowledgement came; the receiver may or may not have the transfer.
+    /// No acknowledgement arrived; the receiver may or may not have the transfer.
     HandoverFailed {
         /// Receiver of the transfer.
         to: HostId,
     },
     /// A planned stop or drain begins.
     Drain,
-    /// The time of `next_timer` has come.
+    /// The time returned by `next_timer` has been reached.
     Tick,
 }
--- a/crates/flows/src/flow.rs
+++ b/crates/flows/src/flow.rs
@@ -4,48 +4,48 @@
 
 use crate::{FlowState, Inbox, Outbox};
 
-/// A flow in one state of its life cycle: open, moving to another agent, or closing.
+/// A flow in one state of its life cycle: open, moving or closed.
 #[derive(Debug)]
 pub(crate) struct Flow<S> {
-    used: Time,
+    used_at: Time,
     sequence: Sequence,
     state: S,
 }
 
-/// The flow is served here.
+/// State of a flow that this agent serves.
 #[derive(Debug, Default)]
 pub(crate) struct Open {
     pub(crate) inbox: Inbox,
     pub(crate) outbox: Outbox,
-    // Delivered messages without a reply; boxed because most flows are idle.
+    // Delivered messages that await a reply; boxed because most flows are idle.
     #[expect(
         clippy::box_collection,
-        reason = "an idle flow pays 8 bytes instead of 24"
+        reason = "takes 8 bytes instead of 24 in an idle flow"
     )]
-    pending: Option<Box<Vec<MessageId>>>,
+    unanswered: Option<Box<Vec<MessageId>>>,
 }
 
-/// The flow is frozen until its receiver acknowledges the handover.
+/// State of a flow that is frozen until the receiver acknowledges the handover.
 #[derive(Debug)]
 pub(crate) struct Moving {
     open: Open,
     to: SocketAddrV4,
 }
 
-/// The flow is closed; a late packet opens nothing.
+/// State of a closed flow, kept so late packets do not reopen it.
 #[derive(Debug)]
-pub(crate) struct Closing;
+pub(crate) struct Tombstone;
 
-/// A flow in any state, as the table stores it.
+/// A flow in any state, as stored in the table.
 #[derive(Debug)]
 pub(crate) enum Held {
     Open(Flow<Open>),
     Moving(Flow<Moving>),
-    Closing(Flow<Closing>),
+    Tombstone(Flow<Tombstone>),
 }
 
 impl<S> Flow<S> {
-    /// Makes the next packet to the caller.
+    /// Builds the next packet to the caller.
     pub(crate) fn packet(&mut self, flow: FlowId, body: Body) -> Packet {
         let sequence = self.sequence;
         self.sequence = sequence.next();
@@ -56,9 +56,9 @@
         }
     }
 
-    fn with<T>(self, change: impl FnOnce(S) -> T) -> Flow<T> {
+    fn map_state<T>(self, change: impl FnOnce(S) -> T) -> Flow<T> {
         Flow {
-            used: self.used,
+            used_at: self.used_at,
             sequence: self.sequence,
             state: change(self.state),
         }
@@ -68,19 +68,19 @@
 impl Flow<Open> {
     pub(crate) fn new(now: Time) -> Self {
         Self {
-            used: now,
+            used_at: now,
             sequence: Sequence::default(),
             state: Open::default(),
         }
     }
 
-    /// Notes traffic of the caller.
+    /// Records that the caller sent a packet.
     pub(crate) fn touch(&mut self, now: Time) {
-        self.used = now;
+        self.used_at = now;
     }
 
-    pub(crate) fn used(&self) -> Time {
-        self.used
+    pub(crate) fn used_at(&self) -> Time {
+        self.used_at
     }
 
     pub(crate) fn state(&mut self) -> &mut Open {
@@ -93,15 +93,15 @@
 
     /// Freezes the flow while it is handed over.
     pub(crate) fn freeze(self, to: SocketAddrV4) -> Flow<Moving> {
-        self.with(|open| Moving { open, to })
+        self.map_state(|open| Moving { open, to })
     }
 
-    /// Ends the flow; what is queued or unanswered is dropped.
-    pub(crate) fn close(self) -> Flow<Closing> {
-        self.with(|_| Closing)
+    /// Ends the flow and drops its queued and unanswered messages.
+    pub(crate) fn close(self) -> Flow<Tombstone> {
+        self.map_state(|_| Tombstone)
     }
 
-    /// Adopts counters of another holder of the same flow.
+    /// Raises the sequence to that of another holder of the same flow.
     pub(crate) fn raise_sequence(&mut self, sequence: Sequence) {
         self.sequence = self.sequence.max(sequence);
     }
@@ -112,12 +112,12 @@
         self.state.to
     }
 
-    /// Serves the flow here again.
-    pub(crate) fn thaw(self) -> Flow<Open> {
-        self.with(|moving| moving.open)
+    /// Makes the flow open here again.
+    pub(crate) fn unfreeze(self) -> Flow<Open> {
+        self.map_state(|moving| moving.open)
     }
 
-    /// State for the receiver.
+    /// Returns the state to send to the receiver.
     pub(crate) fn export(&self, flow: FlowId) -> FlowState {
         let open = &self.state.open;
         FlowState {
@@ -125,31 +125,33 @@
             sequence: self.sequence,
             done: open.inbox.done().clone(),
             segments: open.inbox.segments(),
-            output: open.outbox.outputs(),
+            unacked: open.outbox.unacked_messages(),
         }
     }
 }
 
 impl Open {
-    pub(crate) fn pending(&self) -> usize {
-        self.pending.as_ref().map_or(0, |pending| pending.len())
+    pub(crate) fn unanswered(&self) -> usize {
+        self.unanswered
+            .as_ref()
+            .map_or(0, |unanswered| unanswered.len())
     }
 
     pub(crate) fn await_reply(&mut self, message: MessageId) {
-        self.pending.get_or_insert_default().push(message);
+        self.unanswered.get_or_insert_default().push(message);
     }
 
-    /// Marks a message as answered; false when it was not awaiting a reply.
+    /// Marks a message as answered; returns false if it was not awaiting a reply.
     pub(crate) fn answer(&mut self, message: MessageId) -> bool {
-        let Some(pending) = &mut self.pending else {
+        let Some(unanswered) = &mut self.unanswered else {
             return false;
         };
-        let Some(place) = pending.iter().position(|awaiting| *awaiting == message) else {
+        let Some(index) = unanswered.iter().position(|awaiting| *awaiting == message) else {
             return false;
         };
-        pending.swap_remove(place);
-        if pending.is_empty() {
-            self.pending = None;
+        unanswered.swap_remove(index);
+        if unanswered.is_empty() {
+            self.unanswered = None;
         }
         true
     }
--- a/crates/flows/src/inbox.rs
+++ b/crates/flows/src/inbox.rs
@@ -6,26 +6,26 @@
 
 use crate::{MAX_MESSAGE_BYTES, Ranges, SEGMENT_BYTES};
 
-// Incomplete messages of one flow; the bytes that they hold stay within one largest message.
+// Limit per flow; their buffered bytes together are limited to `MAX_MESSAGE_BYTES`.
 const MAX_INCOMPLETE: usize = 8;
 
-/// What became of a received segment.
+/// Result of accepting a segment.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Receipt {
-    /// Kept; acknowledge it.
+    /// The segment was stored; acknowledge it.
     Stored,
-    /// The last missing segment; acknowledge it and use the whole message.
+    /// The last missing segment; acknowledge it and use the complete message.
     Complete(Vec<u8>),
     /// Received before; acknowledge it again.
     Duplicate,
-    /// A limit is reached; the sender is to repeat it later.
+    /// A limit is reached; not acknowledged, so the sender retransmits it later.
     Full,
-    /// It contradicts its message; not acknowledged.
+    /// The segment is invalid or does not match its message; not acknowledged.
     Malformed,
 }
 
 impl Receipt {
-    /// Whether the segment is to be acknowledged.
+    /// Whether the receiver must acknowledge the segment.
     ///
     /// ```
     /// assert!(usher_flows::Receipt::Duplicate.is_acknowledged());
@@ -35,9 +35,9 @@
     }
 }
 
-/// Reassembles the messages of one direction of a flow and gives each out once.
+/// Reassembles the messages of one direction of a flow and returns each once.
 ///
-/// Limits: 8 incomplete messages with 4 MiB in all, 256 ranges of completed numbers.
+/// Limits: 8 incomplete messages with 4 MiB in total, 256 ranges of completed numbers.
 ///
 /// ```
 /// use usher_flows::{Inbox, Outbox, Receipt};
@@ -51,13 +51,13 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Inbox {
     done: Ranges,
-    partial: Option<Box<Partials>>,
+    partial: Option<Box<PartialMessages>>,
 }
 
-type Partials = IndexMap<MessageId, Partial>;
+type PartialMessages = IndexMap<MessageId, PartialMessage>;
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Partial {
+struct PartialMessage {
     count: u16,
     length: u32,
     checksum: u32,
@@ -65,7 +65,7 @@
 }
 
 impl Inbox {
-    /// Takes one segment.
+    /// Stores a segment and returns the message that it completes.
     ///
     /// ```
     /// use usher_flows::{Inbox, Receipt};
@@ -94,7 +94,7 @@
         let partials = self.partial.get_or_insert_default();
         let partial = partials
             .entry(message)
-            .or_insert_with(|| Partial::new(&segment));
+            .or_insert_with(|| PartialMessage::new(&segment));
         if !partial.matches(&segment) {
             return Receipt::Malformed;
         }
@@ -119,7 +119,7 @@
         {
             self.partial = None;
         }
-        match partial.and_then(Partial::join) {
+        match partial.and_then(PartialMessage::join) {
             Some(bytes) => {
                 self.done.insert(message);
                 Receipt::Complete(bytes)
@@ -128,17 +128,17 @@
         }
     }
 
-    /// Whether the message of a segment is complete or under way already.
-    pub(crate) fn knows(&self, message: MessageId) -> bool {
+    /// Whether a message was completed before.
+    pub(crate) fn is_completed(&self, message: MessageId) -> bool {
         self.done.contains(message)
     }
 
-    /// Numbers of the messages that were given out.
+    /// Numbers of completed messages.
     pub(crate) fn done(&self) -> &Ranges {
         &self.done
     }
 
-    /// Marks messages that another holder gave out; drops parts of them.
+    /// Marks messages that another holder completed and drops their buffered parts.
     pub(crate) fn merge_done(&mut self, done: &Ranges) {
         self.done.merge(done);
         if let Some(partials) = &mut self.partial {
@@ -162,13 +162,13 @@
             return false;
         };
         let starts = !partials.contains_key(&segment.message);
-        let held: usize = partials.values().map(Partial::held).sum();
+        let buffered: usize = partials.values().map(PartialMessage::buffered).sum();
         (starts && partials.len() >= MAX_INCOMPLETE)
-            || held + segment.bytes.len() > MAX_MESSAGE_BYTES
+            || buffered + segment.bytes.len() > MAX_MESSAGE_BYTES
     }
 }
 
-impl Partial {
+impl PartialMessage {
     fn new(segment: &Segment) -> Self {
         Self {
             count: segment.count,
@@ -183,8 +183,8 @@
         own == (segment.count, segment.length, segment.checksum)
     }
 
-    // Every part but the last is full, so the number of parts bounds the bytes.
-    fn held(&self) -> usize {
+    // Upper bound of the buffered bytes: every part but the last is full.
+    fn buffered(&self) -> usize {
         self.parts.len() * SEGMENT_BYTES
     }
 
@@ -208,12 +208,12 @@
     }
 }
 
-/// Checksum of a whole message.
+/// Checksum of a complete message.
 pub(crate) fn checksum(bytes: &[u8]) -> u32 {
     xxh3_64(bytes) as u32
 }
 
-/// Number of segments of a message; an empty message has one.
+/// Number of segments of a message; an empty message has one segment.
 pub(crate) fn segment_count(length: usize) -> usize {
     length.div_ceil(SEGMENT_BYTES).max(1)
 }
--- a/crates/flows/src/outbox.rs
+++ b/crates/flows/src/outbox.rs
@@ -7,12 +7,12 @@
 use crate::inbox::{checksum, segment_count};
 use crate::{FlowError, MAX_MESSAGE_BYTES, SEGMENT_BYTES};
 
-const FIRST_DELAY: Span = Span::from_millis(200);
-const LAST_DELAY: Span = Span::from_secs(10);
-// Segments of one message under way at a time; keeps a large reply from flooding a socket buffer.
-const WINDOW: usize = 32;
+const MIN_DELAY: Span = Span::from_millis(200);
+const MAX_DELAY: Span = Span::from_secs(10);
+// Segments of one message in flight; keeps a large reply from overflowing a socket buffer.
+const WINDOW_SEGMENTS: usize = 32;
 
-/// Sends the messages of one direction of a flow until every segment is acknowledged.
+/// Sends the messages of one direction of a flow and retransmits unacknowledged segments.
 ///
 /// ```
 /// use usher_flows::Outbox;
@@ -26,35 +26,35 @@
 /// ```
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Outbox {
-    messages: Option<Box<IndexMap<MessageId, Sending>>>,
+    messages: Option<Box<IndexMap<MessageId, OutgoingMessage>>>,
 }
 
-/// A message with the segments that are not acknowledged yet, as handed over.
+/// A message that is not fully acknowledged, as it is handed over.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Output {
+pub struct UnackedMessage {
     /// Number of the message.
     pub message: MessageId,
-    /// The whole message.
+    /// The complete message.
     pub bytes: Payload,
     /// Indexes of unacknowledged segments.
     pub missing: Vec<u16>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Sending {
+struct OutgoingMessage {
     bytes: Vec<u8>,
     checksum: u32,
-    under_way: Vec<u16>,
-    waiting: VecDeque<u16>,
+    in_flight: Vec<u16>,
+    queued: VecDeque<u16>,
     delay: Span,
     due: Time,
 }
 
 impl Outbox {
-    /// Queues a message and returns the segments to send now.
+    /// Queues a message and returns its first segments to send.
     ///
     /// # Errors
-    /// Fails when the message is too long or its number is in use.
+    /// Fails if the message is too long or its number is in use.
     ///
     /// ```
     /// use usher_flows::Outbox;
@@ -76,10 +76,10 @@
             return Err(FlowError::InUse(message.get()));
         }
         let missing = (0..segment_count(bytes.len()) as u16).collect();
-        Ok(self.start(now, message, Sending::new(bytes, missing)))
+        Ok(self.start(now, message, OutgoingMessage::new(bytes, missing)))
     }
 
-    /// Notes an acknowledgement and returns the segments to send next.
+    /// Records an acknowledgement and returns the segments to send next.
     ///
     /// ```
     /// use usher_flows::Outbox;
@@ -94,21 +94,21 @@
         let Some(messages) = &mut self.messages else {
             return Vec::new();
         };
-        let Some(sending) = messages.get_mut(&message) else {
+        let Some(outgoing) = messages.get_mut(&message) else {
             return Vec::new();
         };
-        sending.acknowledge(index);
-        if sending.is_done() {
+        outgoing.acknowledge(index);
+        if outgoing.is_done() {
             messages.shift_remove(&message);
             if messages.is_empty() {
                 self.messages = None;
             }
             return Vec::new();
         }
-        sending.fill(now, message)
+        outgoing.fill_window(now, message)
     }
 
-    /// Segments whose retransmission is due; doubles their message's delay.
+    /// Returns the segments due for retransmission and doubles their message's delay.
     ///
     /// ```
     /// assert!(usher_flows::Outbox::default().tick(usher_types::Time::ZERO).is_empty());
@@ -119,8 +119,8 @@
             .iter_mut()
             .flat_map(|messages| messages.iter_mut());
         messages
-            .filter(|(_, sending)| sending.due <= now)
-            .flat_map(|(message, sending)| sending.repeat(now, *message))
+            .filter(|(_, outgoing)| outgoing.due <= now)
+            .flat_map(|(message, outgoing)| outgoing.retransmit(now, *message))
             .collect()
     }
 
@@ -131,7 +131,7 @@
     /// ```
     pub fn next_timer(&self) -> Option<Time> {
         let messages = self.messages.iter().flat_map(|messages| messages.values());
-        messages.map(|sending| sending.due).min()
+        messages.map(|outgoing| outgoing.due).min()
     }
 
     /// Whether every message is acknowledged.
@@ -143,32 +143,32 @@
         self.messages.is_none()
     }
 
-    /// Unacknowledged messages, to be handed over.
-    pub(crate) fn outputs(&self) -> Vec<Output> {
+    /// Messages to hand over because they are not fully acknowledged.
+    pub(crate) fn unacked_messages(&self) -> Vec<UnackedMessage> {
         let messages = self.messages.iter().flat_map(|messages| messages.iter());
         messages
-            .map(|(message, sending)| sending.output(*message))
+            .map(|(message, outgoing)| outgoing.unacked(*message))
             .collect()
     }
 
-    /// Takes over a message unless it is here already; returns the segments to send now.
-    pub(crate) fn restore(&mut self, now: Time, output: Output) -> Vec<Segment> {
-        let count = segment_count(output.bytes.len());
-        let mut missing = output.missing;
+    /// Adds a message from another holder, if absent, and returns the segments to send.
+    pub(crate) fn restore(&mut self, now: Time, unacked: UnackedMessage) -> Vec<Segment> {
+        let count = segment_count(unacked.bytes.len());
+        let mut missing = unacked.missing;
         missing.retain(|index| usize::from(*index) < count);
-        if missing.is_empty() || self.contains(output.message) {
+        if missing.is_empty() || self.contains(unacked.message) {
             return Vec::new();
         }
-        let sending = Sending::new(output.bytes.into_vec(), missing.into());
-        self.start(now, output.message, sending)
+        let outgoing = OutgoingMessage::new(unacked.bytes.into_vec(), missing.into());
+        self.start(now, unacked.message, outgoing)
     }
 
-    fn start(&mut self, now: Time, message: MessageId, sending: Sending) -> Vec<Segment> {
+    fn start(&mut self, now: Time, message: MessageId, outgoing: OutgoingMessage) -> Vec<Segment> {
         let messages = self.messages.get_or_insert_default();
         messages
             .entry(message)
-            .or_insert(sending)
-            .fill(now, message)
+            .or_insert(outgoing)
+            .fill_window(now, message)
     }
 
     fn contains(&self, message: MessageId) -> bool {
@@ -178,51 +178,51 @@
     }
 }
 
-impl Sending {
+impl OutgoingMessage {
     fn new(bytes: Vec<u8>, missing: VecDeque<u16>) -> Self {
         Self {
             checksum: checksum(&bytes),
             bytes,
-            under_way: Vec::new(),
-            waiting: missing,
-            delay: FIRST_DELAY,
+            in_flight: Vec::new(),
+            queued: missing,
+            delay: MIN_DELAY,
             due: Time::ZERO,
         }
     }
 
     fn acknowledge(&mut self, index: u16) {
-        let before = self.under_way.len();
-        self.under_way.retain(|sent| *sent != index);
-        if self.under_way.len() == before {
-            // After a handover, acknowledgements of segments that the earlier holder sent arrive.
-            self.waiting.retain(|later| *later != index);
+        let before = self.in_flight.len();
+        self.in_flight.retain(|sent| *sent != index);
+        if self.in_flight.len() == before {
+            // Acknowledgements of segments that an earlier holder sent arrive after a handover.
+            self.queued.retain(|later| *later != index);
         } else {
-            self.delay = FIRST_DELAY;
+            self.delay = MIN_DELAY;
         }
     }
 
     fn is_done(&self) -> bool {
-        self.under_way.is_empty() && self.waiting.is_empty()
+        self.in_flight.is_empty() && self.queued.is_empty()
     }
 
-    fn fill(&mut self, now: Time, message: MessageId) -> Vec<Segment> {
-        let room = WINDOW
-            .saturating_sub(self.under_way.len())
-            .min(self.waiting.len());
-        let next: Vec<u16> = self.waiting.drain(..room).collect();
+    fn fill_window(&mut self, now: Time, message: MessageId) -> Vec<Segment> {
+        let free = WINDOW_SEGMENTS
+            .saturating_sub(self.in_flight.len())
+            .min(self.queued.len());
+        let next: Vec<u16> = self.queued.drain(..free).collect();
         if !next.is_empty() {
             self.due = now + self.delay;
         }
-        self.under_way.extend(&next);
+        self.in_flight.extend(&next);
         next.into_iter()
             .map(|index| self.segment(message, index))
             .collect()
     }
 
-    fn repeat(&mut self, now: Time, message: MessageId) -> Vec<Segment> {
-        self.delay = (self.delay * 2).min(LAST_DELAY);
+    fn retransmit(&mut self, now: Time, message: MessageId) -> Vec<Segment> {
+        self.delay = (self.delay * 2).min(MAX_DELAY);
         self.due = now + self.delay;
-        self.under_way
+        self.in_flight
             .iter()
             .map(|index| self.segment(message, *index))
             .collect()
@@ -241,16 +241,11 @@
         }
     }
 
-    fn output(&self, message: MessageId) -> Output {
-        Output {
+    fn unacked(&self, message: MessageId) -> UnackedMessage {
+        UnackedMessage {
             message,
             bytes: Payload::from(self.bytes.as_slice()),
-            missing: self
-                .under_way
-                .iter()
-                .chain(&self.waiting)
-                .copied()
-                .collect(),
+            missing: self.in_flight.iter().chain(&self.queued).copied().collect(),
         }
     }
 }
--- a/crates/flows/src/ranges.rs
+++ b/crates/flows/src/ranges.rs
@@ -1,13 +1,13 @@
 use serde::{Deserialize, Serialize};
 use usher_types::MessageId;
 
-// Bounds the memory of one flow; a gap is a message that has not arrived yet.
+// Limits the memory of one flow; each gap is a message that has not been completed.
 const MAX_RANGES: usize = 256;
 
 /// A bounded set of completed message numbers, kept as ascending closed ranges.
 ///
-/// Messages complete out of order for as long as the slowest one takes, so a window by age
-/// would drop late messages; consecutive numbers cost one range whatever their count.
+/// Messages complete out of order until the slowest one completes, so a window limited by age
+/// would drop late messages. Any count of consecutive numbers takes one range.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Ranges(Vec<(u32, u32)>);
@@ -29,7 +29,7 @@
             .is_some_and(|(_, last)| message.get() <= *last)
     }
 
-    /// Whether the set has room for a number.
+    /// Whether a number can be added without exceeding the limit.
     ///
     /// ```
     /// use usher_flows::Ranges;
@@ -42,7 +42,7 @@
         self.0.len() < MAX_RANGES || self.joins_left(next, number) || self.joins_right(next, number)
     }
 
-    /// Adds a number; false when the set is full.
+    /// Adds a number; returns false if the set is full.
     ///
     /// ```
     /// use usher_flows::Ranges;
@@ -73,7 +73,7 @@
         true
     }
 
-    /// Adds all numbers of another set; exceeds the limit rather than lose a number.
+    /// Adds all numbers of another set, even beyond the limit; none is lost.
     pub(crate) fn merge(&mut self, other: &Self) {
         let mut all: Vec<_> = self.0.iter().chain(&other.0).copied().collect();
         all.sort_unstable();
@@ -86,7 +86,7 @@
         }
     }
 
-    // Position of the first range that starts after the number.
+    // Index of the first range that starts after the number.
     fn following(&self, number: u32) -> usize {
         self.0.partition_point(|(first, _)| *first <= number)
     }
--- a/crates/flows/src/settings.rs
+++ b/crates/flows/src/settings.rs
@@ -2,11 +2,11 @@
 
 use usher_types::{Buckets, Generation, HostId, ServiceName, Span};
 
-const IDLE: Span = Span::from_secs(3_600);
-// Covers several retries of a lost registration.
-const SETTLE: Span = Span::from_secs(10);
+const DEFAULT_IDLE: Span = Span::from_secs(3_600);
+// Long enough for several retries of a lost registration.
+const DEFAULT_SETTLE: Span = Span::from_secs(10);
 
-/// Fixed parameters of a flow table.
+/// Parameters of a flow table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
     /// Service of this host.
@@ -19,11 +19,11 @@
     pub host: HostId,
     /// UDP address of this agent.
     pub agent: SocketAddrV4,
-    /// Queue wait above which new flows go to the second candidate.
+    /// Queue wait above which new flows are hunted: forwarded to the second candidate.
     pub hunt: Span,
     /// Time without traffic after which a flow expires.
     pub idle: Span,
-    /// Time from the adoption of a roster by all members until unknown flows are reset.
+    /// Time after all members adopt a roster before unknown flows are reset.
     pub settle: Span,
 }
 
@@ -59,8 +59,8 @@
             host,
             agent,
             hunt,
-            idle: IDLE,
-            settle: SETTLE,
+            idle: DEFAULT_IDLE,
+            settle: DEFAULT_SETTLE,
         }
     }
 }
--- a/crates/flows/src/table.rs
+++ b/crates/flows/src/table.rs
@@ -1,9 +1,9 @@
 mod handover;
 mod membership;
+mod orphaned;
 mod receive;
 mod registry;
 mod serve;
-mod stranded;
 mod takeover;
 
 use std::mem;
@@ -13,21 +13,21 @@
 use usher_types::{Body, FlowId, HostId, Packet, Sequence, Span, Time};
 
 use self::membership::Membership;
-use self::registry::Rival;
+use self::registry::OtherHolder;
 use crate::directory::Directory;
-use crate::flow::{Closing, Flow, Held, Open};
+use crate::flow::{Flow, Held, Open, Tombstone};
+use crate::outgoing_transfer::OutgoingTransfer;
 use crate::timers::Timers;
-use crate::transit::Transit;
-use crate::{Action, Counter, Event, Located, PACKET_LIFETIME, Settings};
+use crate::{Action, Counter, Event, FlowLocation, PACKET_LIFETIME, Settings};
 
 const SWEEPS_PER_IDLE: u64 = 4;
 
-/// Bytes of one table row: hash, flow id, state and two index slots.
+/// Bytes of one flow in the table: hash, id, state and two index slots.
 ///
-/// An idle flow also owns one heap block of 32 bytes, for its completed message numbers.
+/// An idle flow also owns a heap block of 32 bytes with its completed message numbers.
 pub const FLOW_BYTES: usize = size_of::<(u64, FlowId, Held)>() + 2 * size_of::<usize>();
 
-/// Flows of one agent: what it holds, what it knows of others and what it hands over.
+/// Flows that an agent holds or hands over, and holders of other flows.
 ///
 /// ```
 /// use usher_flows::{Event, FlowTable, Settings};
@@ -51,30 +51,38 @@
     wait: Span,
     held: IndexMap<FlowId, Held>,
     directory: Directory,
-    resend: Timers,
+    resend_timers: Timers,
     tombstones: Timers,
-    sweep: Time,
+    next_sweep: Time,
+    /// Holders that the owners of the buckets have not acknowledged yet.
     registrations: IndexMap<FlowId, SocketAddrV4>,
-    register: Timers,
-    pace: Time,
-    rivals: IndexMap<FlowId, Rival>,
-    yields: IndexMap<FlowId, SocketAddrV4>,
-    leaving: IndexSet<FlowId>,
-    /// Flows whose transfer ended with its receiver; they wait for one to their next owner.
-    stranded: IndexSet<FlowId>,
-    deferred: Timers,
-    located: Vec<Located>,
+    register_timers: Timers,
+    /// Earliest time of the next batch of registrations.
+    next_batch: Time,
+    /// Agents being asked whether they hold a flow that is open here too.
+    other_holders: IndexMap<FlowId, OtherHolder>,
+    /// Agents to which flows must be handed over even without a drain.
+    handover_targets: IndexMap<FlowId, SocketAddrV4>,
+    handover_queue: IndexSet<FlowId>,
+    /// Frozen flows whose receiver has left; queued for a transfer to their next owner.
+    orphaned: IndexSet<FlowId>,
+    /// When to queue flows for handover again.
+    requeue_timers: Timers,
+    /// Directory entries queued for handover.
+    locations: Vec<FlowLocation>,
+    /// Tombstones queued for handover.
     closed: Vec<FlowId>,
-    transits: IndexMap<HostId, Transit>,
-    transfers: u64,
-    taken: IndexMap<SocketAddrV4, (u64, Vec<FlowId>)>,
+    outgoing_transfers: IndexMap<HostId, OutgoingTransfer>,
+    transfer_number: u64,
+    /// Number of the last transfer from each agent and the flows acknowledged for it.
+    answered_transfers: IndexMap<SocketAddrV4, (u64, Vec<FlowId>)>,
     draining: bool,
     drained: bool,
     actions: Vec<Action>,
 }
 
 impl FlowTable {
-    /// An empty table without a roster.
+    /// Creates an empty table without a roster.
     ///
     /// ```
     /// use usher_flows::{FlowTable, Settings};
@@ -95,29 +103,29 @@
             wait: Span::ZERO,
             held: IndexMap::new(),
             directory: Directory::default(),
-            resend: Timers::default(),
+            resend_timers: Timers::default(),
             tombstones: Timers::default(),
-            sweep: Time::ZERO,
+            next_sweep: Time::ZERO,
             registrations: IndexMap::new(),
-            register: Timers::default(),
-            pace: Time::ZERO,
-            rivals: IndexMap::new(),
-            yields: IndexMap::new(),
-            leaving: IndexSet::new(),
-            stranded: IndexSet::new(),
-            deferred: Timers::default(),
-            located: Vec::new(),
+            register_timers: Timers::default(),
+            next_batch: Time::ZERO,
+            other_holders: IndexMap::new(),
+            handover_targets: IndexMap::new(),
+            handover_queue: IndexSet::new(),
+            orphaned: IndexSet::new(),
+            requeue_timers: Timers::default(),
+            locations: Vec::new(),
             closed: Vec::new(),
-            transits: IndexMap::new(),
-            transfers: 0,
-            taken: IndexMap::new(),
+            outgoing_transfers: IndexMap::new(),
+            transfer_number: 0,
+            answered_transfers: IndexMap::new(),
             draining: false,
             drained: false,
             actions: Vec::new(),
         }
     }
 
-    /// Takes one event and returns what is to be done, in order.
+    /// Handles an event and returns the actions to perform, in order.
     ///
     /// ```
     /// # use usher_flows::{FlowTable, Settings};
@@ -137,14 +145,14 @@
         match event {
             Event::Relay(relay) => self.receive(now, relay),
             Event::Roster(roster) => self.adopt_roster(now, &roster),
-            Event::Adopted(version) => self.membership.confirm(now, version),
+            Event::Adopted(version) => self.membership.confirm_adoption(now, version),
             Event::Wait(wait) => self.wait = wait,
             Event::Generation(generation) => {
                 self.settings.generation = self.settings.generation.max(generation);
             }
             Event::Reply { id, bytes } => self.reply(now, id, bytes),
-            Event::Register { from, register } => self.registration(now, from, &register),
-            Event::Registered { from, registered } => self.registered(now, from, &registered),
+            Event::Register { from, register } => self.on_registration(now, from, &register),
+            Event::Registered { from, registered } => self.on_registered(now, from, &registered),
             Event::Handover(transfer) => self.take_over(now, transfer),
             Event::HandedOver { to, flows } => self.handed_over(now, &to, &flows),
             Event::HandoverFailed { to } => self.handover_failed(now, &to),
@@ -156,7 +164,7 @@
         mem::take(&mut self.actions)
     }
 
-    /// When the table wants `Event::Tick`.
+    /// When `Event::Tick` is due.
     ///
     /// ```
     /// # use usher_flows::{FlowTable, Settings};
@@ -170,17 +178,21 @@
     /// # Ok::<(), usher_types::ParseError>(())
     /// ```
     pub fn next_timer(&self) -> Option<Time> {
-        let sweep = (!self.held.is_empty() || !self.directory.is_empty()).then_some(self.sweep);
-        let register = self.register.next().map(|due| due.max(self.pace));
+        let sweep =
+            (!self.held.is_empty() || !self.directory.is_empty()).then_some(self.next_sweep);
+        let register = self
+            .register_timers
+            .next()
+            .map(|due| due.max(self.next_batch));
         let retry = self
-            .transits
+            .outgoing_transfers
             .values()
-            .filter_map(|transit| transit.retry)
+            .filter_map(|outgoing| outgoing.retry)
             .min();
         let timers = [
-            self.resend.next(),
+            self.resend_timers.next(),
             self.tombstones.next(),
-            self.deferred.next(),
+            self.requeue_timers.next(),
             register,
             retry,
             sweep,
@@ -188,7 +200,7 @@
         timers.into_iter().flatten().min()
     }
 
-    /// Number of flows that are held here, open or on their way to another agent.
+    /// Number of flows held here, open or moving to another agent.
     ///
     /// ```
     /// # use usher_flows::{FlowTable, Settings};
@@ -202,33 +214,33 @@
     /// # Ok::<(), usher_types::ParseError>(())
     /// ```
     pub fn flows(&self) -> usize {
-        let closing = |held: &&Held| matches!(held, Held::Closing(_));
-        self.held.len() - self.held.values().filter(closing).count()
+        let tombstone = |held: &&Held| matches!(held, Held::Tombstone(_));
+        self.held.len() - self.held.values().filter(tombstone).count()
     }
 
     fn tick(&mut self, now: Time) {
         while let Some(flow) = self.tombstones.pop(now) {
             self.held.swap_remove(&flow);
         }
-        while let Some(flow) = self.resend.pop(now) {
+        while let Some(flow) = self.resend_timers.pop(now) {
             self.retransmit(now, flow);
         }
-        while let Some(flow) = self.deferred.pop(now) {
-            self.queue_if_leaving(flow);
+        while let Some(flow) = self.requeue_timers.pop(now) {
+            self.queue_handover(flow);
         }
         self.register_due(now);
-        self.retry_transits(now);
-        if self.sweep <= now {
+        self.retry_transfers(now);
+        if self.next_sweep <= now {
             self.sweep(now);
         }
     }
 
     fn sweep(&mut self, now: Time) {
         let idle = self.settings.idle;
-        self.sweep = now + idle.scale(1.0 / SWEEPS_PER_IDLE as f64);
+        self.next_sweep = now + idle.scale(1.0 / SWEEPS_PER_IDLE as f64);
         self.directory.sweep(now);
         let expired =
-            |flow: &Flow<Open>| now.since(flow.used()) >= idle && flow.view().pending() == 0;
+            |flow: &Flow<Open>| now.since(flow.used_at()) >= idle && flow.view().unanswered() == 0;
         let stale: Vec<FlowId> = self
             .held
             .iter()
@@ -236,29 +248,29 @@
             .map(|(flow, _)| *flow)
             .collect();
         for flow in stale {
-            self.forget(now, flow);
+            self.end_flow(now, flow);
             self.count(Counter::Expired);
         }
         self.register_all(now);
     }
 
-    /// Ends an open flow and keeps a tombstone; late packets of it open nothing.
-    fn forget(&mut self, now: Time, flow: FlowId) {
+    /// Ends an open flow and keeps a tombstone; late packets do not reopen it.
+    fn end_flow(&mut self, now: Time, flow: FlowId) {
         let Some(Held::Open(open)) = self.held.swap_remove(&flow) else {
             return;
         };
-        self.bury(now, flow, open.close());
+        self.add_tombstone(now, flow, open.close());
         self.retire_at_owner(flow);
-        self.resend.clear(&flow);
+        self.resend_timers.clear(&flow);
         self.unregister(&flow);
-        self.yields.swap_remove(&flow);
-        self.leaving.swap_remove(&flow);
-        self.deferred.clear(&flow);
+        self.handover_targets.swap_remove(&flow);
+        self.handover_queue.swap_remove(&flow);
+        self.requeue_timers.clear(&flow);
     }
 
-    /// Keeps a tombstone, here and, while draining, at the next owner of the bucket.
-    fn bury(&mut self, now: Time, flow: FlowId, closing: Flow<Closing>) {
-        self.held.insert(flow, Held::Closing(closing));
+    /// Keeps a tombstone and, while draining, queues it for the bucket's next owner.
+    fn add_tombstone(&mut self, now: Time, flow: FlowId, tombstone: Flow<Tombstone>) {
+        self.held.insert(flow, Held::Tombstone(tombstone));
         self.tombstones.set(flow, now + PACKET_LIFETIME);
         if self.draining {
             self.closed.push(flow);
@@ -276,7 +288,7 @@
     fn send(&mut self, flow: FlowId, body: Body) {
         let packet = match self.held.get_mut(&flow) {
             Some(Held::Open(open)) => open.packet(flow, body),
-            Some(Held::Closing(closing)) => closing.packet(flow, body),
+            Some(Held::Tombstone(tombstone)) => tombstone.packet(flow, body),
             Some(Held::Moving(_)) | None => Packet {
                 flow,
                 sequence: Sequence::default(),
--- a/crates/flows/src/table/handover.rs
+++ b/crates/flows/src/table/handover.rs
@@ -8,12 +8,12 @@
 use super::FlowTable;
 use crate::directory::Basis;
 use crate::flow::Held;
-use crate::transit::Transit;
+use crate::outgoing_transfer::OutgoingTransfer;
 use crate::{Action, Counter, Transfer};
 
-const RETRY: Span = Span::from_millis(500);
-// Keeps a transfer of idle flows near 64 KB.
-pub(super) const PARCEL_FLOWS: usize = 256;
+const RETRY_DELAY: Span = Span::from_millis(500);
+// Keeps a transfer of idle flows at about 64 KB.
+pub(super) const MAX_TRANSFER_FLOWS: usize = 256;
 
 impl FlowTable {
     pub(super) fn adopt_roster(&mut self, now: Time, roster: &Arc<Roster>) {
@@ -25,9 +25,9 @@
         let (buckets, own) = (self.settings.buckets, &self.settings.host);
         let next = |flow: &FlowId| Some(membership.successor(flow, buckets, own)?.1.agent);
         self.directory.retain(roster.version, remains, next);
-        self.yields.retain(|_, holder| remains(*holder));
+        self.handover_targets.retain(|_, holder| remains(*holder));
         let gone: Vec<HostId> = self
-            .transits
+            .outgoing_transfers
             .keys()
             .filter(|host| {
                 !before
@@ -38,7 +38,7 @@
             .cloned()
             .collect();
         for host in gone {
-            self.cancel_transit(&host);
+            self.cancel_transfer(&host);
         }
         self.register_all(now);
     }
@@ -48,81 +48,90 @@
             return;
         }
         self.draining = true;
-        self.leaving.extend(self.held.keys());
-        self.located = self.directory.located(now);
+        self.handover_queue.extend(self.held.keys());
+        self.locations = self.directory.locations(now);
         let tombstones = self.held.iter();
-        let tombstones = tombstones.filter(|(_, held)| matches!(held, Held::Closing(_)));
+        let tombstones = tombstones.filter(|(_, held)| matches!(held, Held::Tombstone(_)));
         self.closed = tombstones.map(|(flow, _)| *flow).collect();
     }
 
-    /// Queues a flow for handover when it has to leave and no reply is pending.
-    pub(super) fn queue_if_leaving(&mut self, flow: FlowId) {
-        if let Some(Held::Closing(_)) = self.held.get(&flow) {
+    /// Queues a flow or tombstone for handover if this agent must give it up.
+    pub(super) fn queue_handover(&mut self, flow: FlowId) {
+        if let Some(Held::Tombstone(_)) = self.held.get(&flow) {
             if self.draining {
                 self.closed.push(flow);
             }
-        } else if self.draining || self.yields.contains_key(&flow) {
-            self.leaving.insert(flow);
+        } else if self.draining || self.handover_targets.contains_key(&flow) {
+            self.handover_queue.insert(flow);
         }
     }
 
-    /// Sends what is queued to hosts that have no transfer under way.
+    /// Transfers queued flows, entries and tombstones to hosts without an unacknowledged transfer.
     pub(super) fn dispatch(&mut self, now: Time) {
-        let is_idle = self.leaving.is_empty() && self.stranded.is_empty();
-        if is_idle && self.located.is_empty() && self.closed.is_empty() {
+        let is_idle = self.handover_queue.is_empty() && self.orphaned.is_empty();
+        if is_idle && self.locations.is_empty() && self.closed.is_empty() {
             return;
         }
-        let mut transits: IndexMap<HostId, Transit> = IndexMap::new();
-        self.dispatch_stranded(&mut transits);
+        let mut outgoing_transfers: IndexMap<HostId, OutgoingTransfer> = IndexMap::new();
+        self.dispatch_orphaned(&mut outgoing_transfers);
         for flow in self.ready() {
             if let Some((host, _)) = self.destination(&flow)
-                && !self.transits.contains_key(&host)
+                && !self.outgoing_transfers.contains_key(&host)
             {
-                let transit = transits.entry(host).or_default();
-                if transit.flows.len() < PARCEL_FLOWS {
-                    transit.flows.push(flow);
+                let outgoing = outgoing_transfers.entry(host).or_default();
+                if outgoing.flows.len() < MAX_TRANSFER_FLOWS {
+                    outgoing.flows.push(flow);
                 }
             }
         }
-        for located in mem::take(&mut self.located) {
-            match self.successor(&located.flow) {
-                Some((host, _)) if !self.transits.contains_key(&host) => {
-                    transits.entry(host).or_default().directory.push(located);
+        for location in mem::take(&mut self.locations) {
+            match self.successor(&location.flow) {
+                Some((host, _)) if !self.outgoing_transfers.contains_key(&host) => {
+                    outgoing_transfers
+                        .entry(host)
+                        .or_default()
+                        .directory
+                        .push(location);
                 }
-                Some(_) => self.located.push(located),
+                Some(_) => self.locations.push(location),
                 None => {}
             }
         }
         for flow in mem::take(&mut self.closed) {
             match self.successor(&flow) {
-                Some((host, _)) if !self.transits.contains_key(&host) => {
-                    transits.entry(host).or_default().closed.push(flow);
+                Some((host, _)) if !self.outgoing_transfers.contains_key(&host) => {
+                    outgoing_transfers
+                        .entry(host)
+                        .or_default()
+                        .closed
+                        .push(flow);
                 }
                 Some(_) => self.closed.push(flow),
                 None => {}
             }
         }
-        for (host, mut transit) in transits {
-            // Grows across restarts of the process too.
-            self.transfers = now.as_micros().max(self.transfers + 1);
-            transit.number = self.transfers;
-            self.start_transit(host, transit);
+        for (host, mut outgoing) in outgoing_transfers {
+            // Based on the clock so that numbers also increase across restarts of the process.
+            self.transfer_number = now.as_micros().max(self.transfer_number + 1);
+            outgoing.number = self.transfer_number;
+            self.start_transfer(host, outgoing);
         }
     }
 
     /// Queued flows that are open and await no reply; others leave the queue.
     fn ready(&mut self) -> Vec<FlowId> {
-        let (held, yields, draining) = (&self.held, &self.yields, self.draining);
-        self.leaving.retain(|flow| {
-            let is_free =
-                matches!(held.get(flow), Some(Held::Open(open)) if open.view().pending() == 0);
-            is_free && (draining || yields.contains_key(flow))
+        let (held, handover_targets, draining) =
+            (&self.held, &self.handover_targets, self.draining);
+        self.handover_queue.retain(|flow| {
+            let is_ready =
+                matches!(held.get(flow), Some(Held::Open(open)) if open.view().unanswered() == 0);
+            is_ready && (draining || handover_targets.contains_key(flow))
         });
-        self.leaving.iter().copied().collect()
+        self.handover_queue.iter().copied().collect()
     }
 
     pub(super) fn destination(&self, flow: &FlowId) -> Option<(HostId, SocketAddrV4)> {
-        match self.yields.get(flow) {
+        match self.handover_targets.get(flow) {
             Some(holder) => {
                 let host = self.membership.host_at(*holder)?;
                 Some((host.clone(), *holder))
@@ -132,7 +141,7 @@
         }
     }
 
-    /// Who owns a flow's bucket once this agent has left.
+    /// Member that owns a flow's bucket once this agent has left.
     fn successor(&self, flow: &FlowId) -> Option<(HostId, SocketAddrV4)> {
         let own = &self.settings.host;
         let (host, member) = self
@@ -141,96 +150,98 @@
         Some((host.clone(), member.agent))
     }
 
-    fn start_transit(&mut self, host: HostId, transit: Transit) {
+    fn start_transfer(&mut self, host: HostId, outgoing: OutgoingTransfer) {
         let Some(to) = self.membership.agent_of(&host) else {
             return;
         };
-        for flow in &transit.flows {
-            self.leaving.swap_remove(flow);
-            self.resend.clear(flow);
-            self.stranded.swap_remove(flow);
+        for flow in &outgoing.flows {
+            self.handover_queue.swap_remove(flow);
+            self.resend_timers.clear(flow);
+            self.orphaned.swap_remove(flow);
             let open = match self.held.swap_remove(flow) {
                 Some(Held::Open(open)) => open,
-                Some(Held::Moving(moving)) => moving.thaw(),
+                Some(Held::Moving(moving)) => moving.unfreeze(),
                 _ => continue,
             };
             self.held.insert(*flow, Held::Moving(open.freeze(to)));
         }
-        self.send_transfer(host.clone(), &transit);
-        self.transits.insert(host, transit);
+        self.send_transfer(host.clone(), &outgoing);
+        self.outgoing_transfers.insert(host, outgoing);
     }
 
-    fn send_transfer(&mut self, host: HostId, transit: &Transit) {
+    fn send_transfer(&mut self, host: HostId, outgoing: &OutgoingTransfer) {
         let state = |flow: &FlowId| match self.held.get(flow) {
             Some(Held::Moving(moving)) => Some(moving.export(*flow)),
             _ => None,
         };
         let transfer = Transfer {
             from: self.settings.agent,
-            number: transit.number,
-            flows: transit.flows.iter().filter_map(state).collect(),
-            directory: transit.directory.clone(),
-            closed: transit.closed.clone(),
+            number: outgoing.number,
+            flows: outgoing.flows.iter().filter_map(state).collect(),
+            directory: outgoing.directory.clone(),
+            closed: outgoing.closed.clone(),
         };
         self.actions.push(Action::Handover { host, transfer });
     }
 
     pub(super) fn handover_failed(&mut self, now: Time, to: &HostId) {
-        if let Some(transit) = self.transits.get_mut(to) {
-            transit.retry = Some(now + RETRY);
-            transit.is_uncertain = true;
+        if let Some(outgoing) = self.outgoing_transfers.get_mut(to) {
+            outgoing.retry = Some(now + RETRY_DELAY);
+            outgoing.is_uncertain = true;
         }
     }
 
-    /// Repeats transfers to the same hosts: a receiver may hold the flows although no
-    /// acknowledgement came, so no other agent may get them.
-    pub(super) fn retry_transits(&mut self, now: Time) {
-        let due = |transit: &Transit| transit.retry.is_some_and(|retry| retry <= now);
+    /// Retries failed transfers with the same receivers.
+    ///
+    /// A receiver may hold the flows although no acknowledgement arrived, so the flows must not go
+    /// to another agent.
+    pub(super) fn retry_transfers(&mut self, now: Time) {
+        let due = |outgoing: &OutgoingTransfer| outgoing.retry.is_some_and(|retry| retry <= now);
         let hosts: Vec<HostId> = self
-            .transits
+            .outgoing_transfers
             .iter()
-            .filter(|(_, transit)| due(transit))
+            .filter(|(_, outgoing)| due(outgoing))
             .map(|(host, _)| host.clone())
             .collect();
         for host in hosts {
-            if let Some(mut transit) = self.transits.swap_remove(&host) {
-                transit.retry = None;
-                self.send_transfer(host.clone(), &transit);
-                self.transits.insert(host, transit);
+            if let Some(mut outgoing) = self.outgoing_transfers.swap_remove(&host) {
+                outgoing.retry = None;
+                self.send_transfer(host.clone(), &outgoing);
+                self.outgoing_transfers.insert(host, outgoing);
             }
         }
     }
 
     pub(super) fn handed_over(&mut self, now: Time, to: &HostId, flows: &[FlowId]) {
-        let Some(mut transit) = self.transits.swap_remove(to) else {
+        let Some(mut outgoing) = self.outgoing_transfers.swap_remove(to) else {
             return;
         };
-        let taken: IndexSet<FlowId> = flows.iter().copied().collect();
-        let (done, left): (Vec<_>, Vec<_>) = transit
+        let acknowledged: IndexSet<FlowId> = flows.iter().copied().collect();
+        let (done, left): (Vec<_>, Vec<_>) = outgoing
             .flows
             .into_iter()
-            .partition(|flow| taken.contains(flow));
+            .partition(|flow| acknowledged.contains(flow));
         self.discard(now, done);
-        // A draining receiver may leave before the next owner knows the tombstone.
-        for flow in mem::take(&mut transit.closed) {
-            if !taken.contains(&flow) {
-                self.deferred.set(flow, now + RETRY);
+        // A draining receiver may leave before it hands the tombstone to the next owner.
+        for flow in mem::take(&mut outgoing.closed) {
+            if !acknowledged.contains(&flow) {
+                self.requeue_timers.set(flow, now + RETRY_DELAY);
             }
         }
-        if !transit.is_uncertain {
+        if !outgoing.is_uncertain {
             for flow in left {
-                self.thaw(flow);
-                self.deferred.set(flow, now + RETRY);
+                self.unfreeze(flow);
+                self.requeue_timers.set(flow, now + RETRY_DELAY);
             }
         } else if !left.is_empty() {
-            transit.flows = left;
-            transit.directory.clear();
-            transit.retry = Some(now + RETRY);
-            self.transits.insert(to.clone(), transit);
+            outgoing.flows = left;
+            outgoing.directory.clear();
+            outgoing.retry = Some(now + RETRY_DELAY);
+            self.outgoing_transfers.insert(to.clone(), outgoing);
         }
     }
 
-    /// Keeps only directory entries of flows that another agent holds now.
+    /// Replaces flows that another agent has taken over by directory entries.
     fn discard(&mut self, now: Time, flows: Vec<FlowId>) {
         let until = now + self.settings.idle;
         let roster = self.membership.version();
@@ -240,7 +251,7 @@
             };
             let holder = moving.to();
             self.held.swap_remove(&flow);
-            self.yields.swap_remove(&flow);
+            self.handover_targets.swap_remove(&flow);
             self.directory
                 .set(flow, holder, Basis::Confirmed, roster, until);
             self.count(Counter::HandedOver);
@@ -248,10 +259,10 @@
         }
     }
 
-    pub(super) fn thaw(&mut self, flow: FlowId) {
+    pub(super) fn unfreeze(&mut self, flow: FlowId) {
         match self.held.swap_remove(&flow) {
             Some(Held::Moving(moving)) => {
-                self.held.insert(flow, Held::Open(moving.thaw()));
+                self.held.insert(flow, Held::Open(moving.unfreeze()));
                 self.schedule_resend(flow);
             }
             Some(held) => {
@@ -261,21 +272,21 @@
         }
     }
 
-    /// Reports once that nothing is left that another agent could take over or finish.
+    /// Reports the drain as complete once nothing is left to hand over or finish.
     pub(super) fn report_drained(&mut self) {
-        let is_queued = !self.located.is_empty() || !self.closed.is_empty();
-        if !self.draining || self.drained || is_queued || !self.transits.is_empty() {
+        let is_queued = !self.locations.is_empty() || !self.closed.is_empty();
+        if !self.draining || self.drained || is_queued || !self.outgoing_transfers.is_empty() {
             return;
         }
-        let is_left = |(flow, held): (&FlowId, &Held)| match held {
+        let is_unfinished = |(flow, held): (&FlowId, &Held)| match held {
             Held::Moving(_) => true,
-            Held::Closing(_) => self.deferred.contains(flow),
+            Held::Tombstone(_) => self.requeue_timers.contains(flow),
             Held::Open(open) => {
-                let is_busy = open.view().pending() > 0 || !open.view().outbox.is_empty();
+                let is_busy = open.view().unanswered() > 0 || !open.view().outbox.is_empty();
                 is_busy || self.successor(flow).is_some()
             }
         };
-        if !self.held.iter().any(is_left) {
+        if !self.held.iter().any(is_unfinished) {
             self.drained = true;
             self.actions.push(Action::Drained);
         }
--- a/crates/flows/src/table/membership.rs
+++ b/crates/flows/src/table/membership.rs
@@ -8,15 +8,15 @@
     Buckets, FlowId, HostId, HostState, Member, Roster, Span, Time, Version, Weight,
 };
 
-// As many earlier rosters as a balancer routes by.
-const EARLIER: usize = 2;
+// Number of earlier rosters that a balancer routes by.
+const MAX_EARLIER: usize = 2;
 
-/// The roster in force and how long all members have had it.
+/// The current roster and the time since which all members have adopted it.
 #[derive(Debug, Default)]
 pub(super) struct Membership {
     roster: Arc<Roster>,
     earlier: VecDeque<Arc<Roster>>,
-    confirmed: Option<Time>,
+    adopted_since: Option<Time>,
 }
 
 impl Membership {
@@ -24,27 +24,27 @@
         self.roster.version
     }
 
-    /// Adopts a newer roster and returns the one before.
+    /// Adopts a newer roster and returns the previous one.
     pub(super) fn adopt(&mut self, roster: &Arc<Roster>) -> Option<Arc<Roster>> {
         if roster.version <= self.roster.version && !self.roster.members.is_empty() {
             return None;
         }
-        self.confirmed = None;
+        self.adopted_since = None;
         let before = mem::replace(&mut self.roster, Arc::clone(roster));
         self.earlier.push_front(Arc::clone(&before));
-        self.earlier.truncate(EARLIER);
+        self.earlier.truncate(MAX_EARLIER);
         Some(before)
     }
 
-    /// Notes that every member has adopted the roster in force.
-    pub(super) fn confirm(&mut self, now: Time, version: Version) {
-        if version == self.roster.version && self.confirmed.is_none() {
-            self.confirmed = Some(now);
+    /// Records that every member has adopted the current roster.
+    pub(super) fn confirm_adoption(&mut self, now: Time, version: Version) {
+        if version == self.roster.version && self.adopted_since.is_none() {
+            self.adopted_since = Some(now);
         }
     }
 
     pub(super) fn is_settled(&self, now: Time, settle: Span) -> bool {
-        self.confirmed
+        self.adopted_since
             .is_some_and(|since| now.since(since) >= settle)
     }
 
@@ -57,30 +57,30 @@
     /// Agents that owned a flow's bucket under earlier rosters.
     pub(super) fn earlier_owners(&self, flow: &FlowId, buckets: Buckets) -> Vec<SocketAddrV4> {
         let owner = |roster: &Arc<Roster>| {
-            let host = first(key(flow, buckets), serving(roster))?;
+            let host = first(bucket_key(flow, buckets), serving(roster))?;
             Some(roster.members.get(host)?.agent)
         };
         self.earlier.iter().filter_map(owner).collect()
     }
 
-    /// Member that owns a flow's bucket once a host has left.
+    /// Member that owns a flow's bucket if `excluded` leaves.
     pub(super) fn successor(
         &self,
         flow: &FlowId,
         buckets: Buckets,
-        leaver: &HostId,
+        excluded: &HostId,
     ) -> Option<(&HostId, &Member)> {
-        self.first(flow, buckets, |host| host != leaver)
+        self.first(flow, buckets, |host| host != excluded)
     }
 
-    /// Agents of the first serving members in a bucket's order.
+    /// Agents of the highest-ranked serving members for a flow's bucket.
     pub(super) fn candidates(
         &self,
         flow: &FlowId,
         buckets: Buckets,
         count: usize,
     ) -> Vec<SocketAddrV4> {
-        let order = rank(key(flow, buckets), serving(&self.roster));
+        let order = rank(bucket_key(flow, buckets), serving(&self.roster));
         let agent = |host: &HostId| self.roster.members.get(host).map(|member| member.agent);
         order.into_iter().filter_map(agent).take(count).collect()
     }
@@ -96,7 +96,7 @@
         self.roster.members.get(host).map(|member| member.agent)
     }
 
-    /// Whether the agent at an address is a member and not a later process than before.
+    /// Whether an agent is a member and has not restarted since roster `before`.
     pub(super) fn remains(&self, before: &Roster, agent: SocketAddrV4) -> bool {
         let Some(host) = self.host_at(agent) else {
             return false;
@@ -110,10 +110,10 @@
         &self,
         flow: &FlowId,
         buckets: Buckets,
-        admit: impl Fn(&HostId) -> bool,
+        is_included: impl Fn(&HostId) -> bool,
     ) -> Option<(&HostId, &Member)> {
-        let members = serving(&self.roster).filter(|(host, _)| admit(host));
-        let host = first(key(flow, buckets), members)?;
+        let members = serving(&self.roster).filter(|(host, _)| is_included(host));
+        let host = first(bucket_key(flow, buckets), members)?;
         self.roster.members.get_key_value(host)
     }
 }
@@ -126,6 +126,6 @@
         .map(|(host, member)| (host, member.weight))
 }
 
-fn key(flow: &FlowId, buckets: Buckets) -> u64 {
+fn bucket_key(flow: &FlowId, buckets: Buckets) -> u64 {
     u64::from(bucket_of(flow, buckets).get())
 }
--- a/crates/flows/src/table/receive.rs
+++ b/crates/flows/src/table/receive.rs
@@ -7,8 +7,8 @@
 use crate::flow::{Flow, Held};
 use crate::{Action, Counter, PACKET_LIFETIME};
 
-// As many current candidates as a balancer names.
-const CANDIDATES: usize = 3;
+// Number of current candidates that a balancer names.
+const MAX_CANDIDATES: usize = 3;
 const MAX_ROUTE: usize = 6;
 
 impl FlowTable {
@@ -26,8 +26,8 @@
                 let to = moving.to();
                 self.forward_direct(to, relay);
             }
-            Some(Held::Closing(_)) => self.answer_late(flow, &relay.packet.body),
-            None => self.locate(now, relay),
+            Some(Held::Tombstone(_)) => self.answer_late(flow, &relay.packet.body),
+            None => self.route_unknown(now, relay),
         }
     }
 
@@ -38,14 +38,14 @@
         }
     }
 
-    fn locate(&mut self, now: Time, mut relay: Relay) {
+    fn route_unknown(&mut self, now: Time, mut relay: Relay) {
         let flow = relay.packet.flow;
         let is_decided = matches!(relay.mode, RelayMode::Hunt | RelayMode::Probed);
         match self.directory.find(now, &flow) {
-            Some(entry) if self.applies(&entry, &relay) => return self.follow(now, entry, relay),
+            Some(entry) if self.overrides(&entry, &relay) => return self.follow(now, entry, relay),
             _ => {}
         }
-        // A decision under an older roster is made again by the owner under this one.
+        // The current owner repeats a decision that was made under an older roster.
         let is_owner = self.owner_of(&flow) == Some(self.settings.agent);
         if is_decided && !is_owner && relay.roster < self.membership.version() {
             relay.mode = RelayMode::Owner;
@@ -53,12 +53,12 @@
         self.decide(now, relay);
     }
 
-    /// Whether a directory entry overrides the mode of a relay.
+    /// Whether a directory entry takes precedence over the mode of a relay.
     ///
-    /// An owner that hunts has asked the earlier owners before, so their notes yield to it, but
-    /// not the note of a later owner to an earlier owner's hunt that arrives late. The current
-    /// owner's note prevails also when an earlier owner hunts for it in answer to a probe.
-    fn applies(&self, entry: &Entry, relay: &Relay) -> bool {
+    /// An owner probes the earlier owners before it hunts, so their `Hunted` entries give way to
+    /// its hunt. The entry of a later owner takes precedence over a late hunt by an earlier owner.
+    /// The current owner's entry also does if an earlier owner hunts in answer to a probe.
+    fn overrides(&self, entry: &Entry, relay: &Relay) -> bool {
         match entry.basis {
             Basis::Confirmed => entry.holder != self.settings.agent,
             Basis::Hunted => {
@@ -78,10 +78,11 @@
                 self.forward_hunt(entry.holder, relay);
             }
             Basis::Probed => {
-                // The owner's own probe may not have reached the other earlier owners yet.
+                // The owner's probe may not have reached the other earlier owners, so keep them
+                // in the route.
                 let mut relay = relay;
-                let place = usize::from(relay.current).min(relay.route.len());
-                let mut route = relay.route.split_off(place);
+                let index = usize::from(relay.current).min(relay.route.len());
+                let mut route = relay.route.split_off(index);
                 route.retain(|agent| ![self.settings.agent, entry.holder].contains(agent));
                 route.insert(0, entry.holder);
                 relay.route = route;
@@ -102,8 +103,8 @@
         match relay.mode {
             RelayMode::Probed => self.decide_alone(now, relay),
             RelayMode::Hunt => self.decide_hunt(now, relay),
-            RelayMode::Probe => self.pass_probe(now, relay),
-            // An agent sent it to the holder it knows, whose state may still be under way.
+            RelayMode::Probe => self.forward_probe(now, relay),
+            // Another agent considers this one the holder; the handover may not have arrived yet.
             RelayMode::Direct if relay.hop > 0 => self.count(Counter::UnknownFlow),
             RelayMode::Owner | RelayMode::Direct => self.decide_owner(now, relay),
         }
@@ -114,7 +115,7 @@
         let is_hint = relay.mode == RelayMode::Direct;
         let is_open = matches!(relay.packet.body, Body::Open);
         match self.owner_of(&relay.packet.flow) {
-            // With equal rosters the balancer suspects the owner, and an `Open` must not wait for it.
+            // With equal rosters, the balancer suspects the owner; an `Open` must not wait for it.
             Some(owner) if owner != self.settings.agent && (is_newer || is_hint || !is_open) => {
                 self.reroute(owner, relay);
             }
@@ -122,12 +123,12 @@
         }
     }
 
-    /// Sends a relay that was routed by an older roster or a stale hint to the bucket's owner.
+    /// Redirects a relay with an older roster or a stale hint to the bucket's owner.
     fn reroute(&mut self, owner: SocketAddrV4, mut relay: Relay) {
         let flow = relay.packet.flow;
         let mut route = self
             .membership
-            .candidates(&flow, self.settings.buckets, CANDIDATES);
+            .candidates(&flow, self.settings.buckets, MAX_CANDIDATES);
         let current = route.len();
         for agent in relay.route {
             if agent != self.settings.agent && !route.contains(&agent) && route.len() < MAX_ROUTE {
@@ -143,7 +144,7 @@
     }
 
     fn probe(&mut self, now: Time, mut relay: Relay) {
-        // The earlier owners return the packet to the first agent of the route.
+        // Earlier owners return the packet to the first agent in the route.
         let own = self.settings.agent;
         relay.roster = relay.roster.max(self.membership.version());
         if relay.route.first() != Some(&own) {
@@ -162,43 +163,43 @@
                 }
             }
         }
-        match self.next_earlier(&relay, usize::from(relay.current).max(1)) {
+        match self.next_earlier_owner(&relay, usize::from(relay.current).max(1)) {
             Some(hop) => self.forward_hop(hop, RelayMode::Probe, relay),
             None => self.decide_alone(now, relay),
         }
     }
 
-    fn pass_probe(&mut self, now: Time, relay: Relay) {
+    fn forward_probe(&mut self, now: Time, relay: Relay) {
         let Some(owner) = relay.route.first().copied() else {
             return self.count(Counter::UnknownFlow);
         };
         if matches!(relay.packet.body, Body::Open) && owner != self.settings.agent {
-            // A stale relay may bring the same `Open` here while the owner decides.
+            // A stale relay with the same `Open` may arrive here while the owner decides.
             let until = now + PACKET_LIFETIME;
             let flow = relay.packet.flow;
             self.directory
                 .set(flow, owner, Basis::Probed, relay.roster, until);
         }
-        match self.next_earlier(&relay, usize::from(relay.hop) + 1) {
+        match self.next_earlier_owner(&relay, usize::from(relay.hop) + 1) {
             Some(hop) => self.forward_hop(hop, RelayMode::Probe, relay),
             None => self.forward_hop(0, RelayMode::Probed, relay),
         }
     }
 
-    /// Position of the next earlier owner that still runs.
-    fn next_earlier(&self, relay: &Relay, from: usize) -> Option<usize> {
+    /// Index in the route of the next earlier owner that is still a member.
+    fn next_earlier_owner(&self, relay: &Relay, from: usize) -> Option<usize> {
         let runs = |agent: SocketAddrV4| {
             agent != self.settings.agent && self.membership.host_at(agent).is_some()
         };
-        (from..relay.route.len()).find(|place| runs(relay.route[*place]))
+        (from..relay.route.len()).find(|index| runs(relay.route[*index]))
     }
 
-    /// Decides as the bucket's owner when no other agent knows the flow.
+    /// Decides as the bucket's owner about a flow that no earlier owner knows.
     fn decide_alone(&mut self, now: Time, relay: Relay) {
         let flow = relay.packet.flow;
         let is_settled = self.is_settled(now, &relay);
         match &relay.packet.body {
-            Body::Open if self.prefers_other(&relay) => self.hunt(now, relay),
+            Body::Open if self.should_hunt(&relay) => self.hunt(now, relay),
             Body::Open => self.accept(now, &relay),
             Body::Close if is_settled => self.send(flow, Body::Closed),
             Body::Segment(_) | Body::Ack { .. } if is_settled => {
@@ -216,7 +217,7 @@
             && self.membership.is_settled(now, self.settings.settle)
     }
 
-    fn prefers_other(&self, relay: &Relay) -> bool {
+    fn should_hunt(&self, relay: &Relay) -> bool {
         let busy = self.wait > self.settings.hunt && self.next_candidate(relay).is_some();
         self.draining || busy
     }
@@ -225,13 +226,13 @@
         let Some(second) = self.next_candidate(&relay) else {
             return self.count(Counter::NoCandidate);
         };
-        // The holder registers well before this entry expires.
+        // Long enough: the holder registers well before this entry expires.
         let until = now + PACKET_LIFETIME;
         let flow = relay.packet.flow;
         self.directory
             .set(flow, second, Basis::Hunted, relay.roster, until);
         let next = Self::candidate_after(&relay, second);
-        self.directory.set_next(&flow, next);
+        self.directory.set_next_candidate(&flow, next);
         self.count(Counter::Hunted);
         self.forward_hunt(second, relay);
     }
@@ -257,8 +258,8 @@
     fn candidate_after(relay: &Relay, agent: SocketAddrV4) -> Option<SocketAddrV4> {
         let current = usize::from(relay.current).min(relay.route.len());
         let candidates = &relay.route[..current];
-        let place = candidates.iter().position(|known| *known == agent)?;
-        candidates.get(place + 1).copied()
+        let index = candidates.iter().position(|known| *known == agent)?;
+        candidates.get(index + 1).copied()
     }
 
     fn accept(&mut self, now: Time, relay: &Relay) {
@@ -286,21 +287,22 @@
     }
 
     fn forward_hunt(&mut self, to: SocketAddrV4, mut relay: Relay) {
-        let place = relay.route.iter().position(|agent| *agent == to);
-        let hop = place.unwrap_or(relay.route.len());
-        if place.is_none() {
+        let index = relay.route.iter().position(|agent| *agent == to);
+        let hop = index.unwrap_or(relay.route.len());
+        if index.is_none() {
             relay.route.push(to);
         }
         relay.hop = hop as u8;
         relay.mode = RelayMode::Hunt;
-        // A former owner that follows its note does not decide under its newer roster.
+        // Only the owner decides under its own roster; a former owner that follows its directory
+        // entry keeps the roster version of the relay.
         if self.owner_of(&relay.packet.flow) == Some(self.settings.agent) {
             relay.roster = relay.roster.max(self.membership.version());
         }
         self.forward(to, relay);
     }
 
-    /// Sends a relay to the flow's holder; the route then lists the agents passed.
+    /// Sends a relay to the flow's holder; its route lists the agents visited.
     fn forward_direct(&mut self, to: SocketAddrV4, mut relay: Relay) {
         if relay.mode != RelayMode::Direct || relay.hop == 0 {
             relay.route = vec![self.settings.agent];
--- a/crates/flows/src/table/registry.rs
+++ b/crates/flows/src/table/registry.rs
@@ -7,28 +7,29 @@
 use crate::flow::Held;
 use crate::{Action, Counter};
 
-const RETRY: Span = Span::from_millis(500);
-// 16 registrations each 100 ms keep control traffic near 10 KB/s while all flows register.
-const ROUND: Span = Span::from_millis(100);
-const PER_ROUND: usize = 16;
+const RETRY_INTERVAL: Span = Span::from_millis(500);
+// 16 registrations per 100 ms limit traffic to about 10 KB/s while all flows register.
+const BATCH_INTERVAL: Span = Span::from_millis(100);
+const BATCH_REGISTRATIONS: usize = 16;
 
-// Agents asked in a row; handovers chain no longer while one registration is retried.
-const MAX_ASKED: u8 = 4;
+// Agents asked in a row; chains of handovers get no longer while one registration is retried.
+const MAX_QUERIES: u8 = 4;
 
 /// Another agent that may hold a flow that is open here.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Rival {
+pub(super) struct OtherHolder {
     agent: SocketAddrV4,
-    asked: u8,
+    /// Number of agents asked so far, including this one.
+    query_count: u8,
 }
 
 impl FlowTable {
-    /// Registers a flow that is open here, unless its bucket is this agent's.
+    /// Registers a flow that is open here, unless this agent owns its bucket.
     pub(super) fn register_own(&mut self, now: Time, flow: FlowId) {
         self.register_holder(now, flow, self.settings.agent);
     }
 
-    /// Tells the bucket's owner who holds a flow, until it acknowledges.
+    /// Tells the bucket's owner who holds a flow and retries until it acknowledges.
     pub(super) fn register_holder(&mut self, now: Time, flow: FlowId, holder: SocketAddrV4) {
         let owner = self.owner_of(&flow);
         if owner.is_none_or(|owner| owner == self.settings.agent || owner == holder) {
@@ -38,7 +39,7 @@
         self.send_register(now, flow);
     }
 
-    /// Registers every open flow of another agent's buckets, at a bounded rate.
+    /// Queues registrations of all open flows in other agents' buckets, at a limited rate.
     pub(super) fn register_all(&mut self, now: Time) {
         let open: Vec<FlowId> = self
             .held
@@ -51,28 +52,28 @@
                 self.unregister(&flow);
             } else {
                 self.registrations.insert(flow, self.settings.agent);
-                self.register.set(flow, now);
+                self.register_timers.set(flow, now);
             }
         }
     }
 
     pub(super) fn unregister(&mut self, flow: &FlowId) {
         self.registrations.swap_remove(flow);
-        self.register.clear(flow);
-        self.rivals.swap_remove(flow);
+        self.register_timers.clear(flow);
+        self.other_holders.swap_remove(flow);
     }
 
     pub(super) fn register_due(&mut self, now: Time) {
-        if now < self.pace {
+        if now < self.next_batch {
             return;
         }
-        for _ in 0..PER_ROUND {
-            match self.register.pop(now) {
+        for _ in 0..BATCH_REGISTRATIONS {
+            match self.register_timers.pop(now) {
                 Some(flow) => self.send_register(now, flow),
                 None => break,
             }
         }
-        self.pace = now + ROUND;
+        self.next_batch = now + BATCH_INTERVAL;
     }
 
     fn send_register(&mut self, now: Time, flow: FlowId) {
@@ -85,9 +86,9 @@
             }
             Some(owner) => {
                 self.push_register(owner, flow, holder);
-                self.register.set(flow, now + RETRY);
+                self.register_timers.set(flow, now + RETRY_INTERVAL);
             }
-            None => self.register.set(flow, now + RETRY),
+            None => self.register_timers.set(flow, now + RETRY_INTERVAL),
         }
     }
 
@@ -101,9 +102,10 @@
         self.actions.push(Action::Register { to, register });
     }
 
-    /// Tells the bucket's owner once that a flow held here has ended, by naming the owner itself.
+    /// Tells the bucket's owner that a flow held here has ended.
     ///
-    /// A lost message costs the owner a directory entry until it expires.
+    /// The registration names the owner itself as holder and is sent once. If it is lost, the
+    /// owner keeps a directory entry until that expires.
     pub(super) fn retire_at_owner(&mut self, flow: FlowId) {
         match self.owner_of(&flow) {
             Some(owner) if owner != self.settings.agent => self.push_register(owner, flow, owner),
@@ -112,7 +114,7 @@
     }
 
     /// Handles a registration as the owner of the bucket.
-    pub(super) fn registration(&mut self, now: Time, from: SocketAddrV4, register: &Register) {
+    pub(super) fn on_registration(&mut self, now: Time, from: SocketAddrV4, register: &Register) {
         let Register {
             flow,
             holder,
@@ -122,22 +124,22 @@
         let is_known = self.held.contains_key(&flow) || self.directory.find(now, &flow).is_some();
         let is_older = self.membership.version() > roster;
         if owner != Some(self.settings.agent) && is_older && !is_known {
-            // The sender will learn the newer roster and register with the owner.
+            // The sender registers with the owner when it learns the newer roster.
             return;
         }
         if holder == self.settings.agent {
             return self.directory.retire(now, &flow, from);
         }
-        let named = match self.held.get(&flow) {
+        let known_holder = match self.held.get(&flow) {
             Some(Held::Open(_)) => self.settings.agent,
             Some(Held::Moving(moving)) => moving.to(),
-            Some(Held::Closing(_)) => holder,
-            None => self.record(now, from, register),
+            Some(Held::Tombstone(_)) => holder,
+            None => self.record_holder(now, from, register),
         };
         self.start_sweep(now);
         let registered = Registered {
             flow,
-            holder: named,
+            holder: known_holder,
         };
         self.actions.push(Action::Registered {
             to: from,
@@ -145,17 +147,22 @@
         });
     }
 
-    /// Sets the holder of a flow, unless another member registered first; returns who holds it.
-    fn record(&mut self, now: Time, from: SocketAddrV4, register: &Register) -> SocketAddrV4 {
+    /// Records the holder of a flow, unless another member registered first; returns the holder.
+    fn record_holder(
+        &mut self,
+        now: Time,
+        from: SocketAddrV4,
+        register: &Register,
+    ) -> SocketAddrV4 {
         let Register {
             flow,
             holder,
             roster,
         } = *register;
         if let Some(entry) = self.directory.find(now, &flow) {
-            let is_rival = entry.holder != holder && entry.holder != from;
+            let is_different = entry.holder != holder && entry.holder != from;
             let is_member = self.membership.host_at(entry.holder).is_some();
-            if entry.basis == Basis::Confirmed && is_rival && is_member {
+            if entry.basis == Basis::Confirmed && is_different && is_member {
                 return entry.holder;
             }
         }
@@ -167,55 +174,55 @@
 
     /// Handles the answer to a registration.
     ///
-    /// The owner may not have heard yet that the agent it names handed the flow over. That agent
-    /// is asked before this one gives its state away, or the flow would circulate between them.
-    pub(super) fn registered(&mut self, now: Time, from: SocketAddrV4, registered: &Registered) {
+    /// The owner may not know yet that the agent it names has handed the flow over. That agent is
+    /// asked before this one hands over its state, or the flow would circulate between them.
+    pub(super) fn on_registered(&mut self, now: Time, from: SocketAddrV4, registered: &Registered) {
         let Registered { flow, holder } = *registered;
         let own = self.settings.agent;
         let is_owner = self.owner_of(&flow) == Some(from);
-        let asked = self.rivals.get(&flow).copied();
-        let is_asked = asked.is_some_and(|rival| rival.agent == from);
-        let Some(wanted) = self.registrations.get(&flow).copied() else {
+        let queried = self.other_holders.get(&flow).copied();
+        let is_queried = queried.is_some_and(|other_holder| other_holder.agent == from);
+        let Some(submitted) = self.registrations.get(&flow).copied() else {
             return;
         };
-        if wanted != own || (holder == own && is_owner) {
+        if submitted != own || (holder == own && is_owner) {
             if is_owner {
                 self.unregister(&flow);
             }
         } else if holder == own {
-            self.rivals.swap_remove(&flow);
-        } else if holder == from && (is_owner || is_asked) {
-            self.yield_to(flow, holder);
+            self.other_holders.swap_remove(&flow);
+        } else if holder == from && (is_owner || is_queried) {
+            self.schedule_handover(flow, holder);
         } else if is_owner {
-            self.ask(now, flow, holder, 0);
-        } else if let Some(rival) = asked
-            && is_asked
+            self.query_holder(now, flow, holder, 0);
+        } else if let Some(other_holder) = queried
+            && is_queried
         {
-            self.ask(now, flow, holder, rival.asked);
+            self.query_holder(now, flow, holder, other_holder.query_count);
         }
     }
 
-    fn ask(&mut self, now: Time, flow: FlowId, agent: SocketAddrV4, asked: u8) {
-        if asked >= MAX_ASKED || self.open_flow(&flow).is_none() {
-            self.rivals.swap_remove(&flow);
+    fn query_holder(&mut self, now: Time, flow: FlowId, agent: SocketAddrV4, query_count: u8) {
+        if query_count >= MAX_QUERIES || self.open_flow(&flow).is_none() {
+            self.other_holders.swap_remove(&flow);
             return;
         }
-        let rival = Rival {
+        let other_holder = OtherHolder {
             agent,
-            asked: asked + 1,
+            query_count: query_count + 1,
         };
-        self.rivals.insert(flow, rival);
+        self.other_holders.insert(flow, other_holder);
         self.push_register(agent, flow, self.settings.agent);
-        // Asks the owner again later whatever the answer is.
-        self.register.set(flow, now + RETRY);
+        // The owner is asked again later, whatever this agent answers.
+        self.register_timers.set(flow, now + RETRY_INTERVAL);
     }
 
-    fn yield_to(&mut self, flow: FlowId, holder: SocketAddrV4) {
+    fn schedule_handover(&mut self, flow: FlowId, holder: SocketAddrV4) {
         self.unregister(&flow);
         if self.open_flow(&flow).is_some() {
             self.count(Counter::Conflict);
-            self.yields.insert(flow, holder);
-            self.queue_if_leaving(flow);
+            self.handover_targets.insert(flow, holder);
+            self.queue_handover(flow);
         }
     }
 }
--- a/crates/flows/src/table/serve.rs
+++ b/crates/flows/src/table/serve.rs
@@ -3,8 +3,8 @@
 use super::FlowTable;
 use crate::{Action, Counter, Receipt};
 
-// Delivered messages of one flow that await a reply; bounds what one caller can queue.
-const MAX_PENDING: usize = 1_024;
+// Delivered messages of one flow that await a reply; limits what one caller can queue.
+const MAX_UNANSWERED: usize = 1_024;
 
 impl FlowTable {
     /// Handles a packet of a flow that is open here.
@@ -29,7 +29,7 @@
             return;
         };
         let state = open.state();
-        if state.pending() >= MAX_PENDING && !state.inbox.knows(message) {
+        if state.unanswered() >= MAX_UNANSWERED && !state.inbox.is_completed(message) {
             return self.count(Counter::Overflow);
         }
         let receipt = state.inbox.accept(segment);
@@ -63,7 +63,7 @@
     }
 
     fn close(&mut self, now: Time, flow: FlowId) {
-        self.forget(now, flow);
+        self.end_flow(now, flow);
         self.count(Counter::Closed);
         self.send(flow, Body::Closed);
     }
@@ -83,7 +83,7 @@
             }
             self.schedule_resend(id.flow);
         }
-        self.queue_if_leaving(id.flow);
+        self.queue_handover(id.flow);
     }
 
     pub(super) fn retransmit(&mut self, now: Time, flow: FlowId) {
@@ -106,8 +106,8 @@
             .open_flow(&flow)
             .and_then(|open| open.state().outbox.next_timer());
         match due {
-            Some(due) => self.resend.set(flow, due),
-            None => self.resend.clear(&flow),
+            Some(due) => self.resend_timers.set(flow, due),
+            None => self.resend_timers.clear(&flow),
         }
     }
 }
--- a/crates/flows/src/table/takeover.rs
+++ b/crates/flows/src/table/takeover.rs
@@ -5,16 +5,16 @@
 use super::{FlowTable, SWEEPS_PER_IDLE};
 use crate::directory::Basis;
 use crate::flow::{Flow, Held};
-use crate::{Action, Counter, FlowState, Located, Transfer};
+use crate::{Action, Counter, FlowLocation, FlowState, Transfer};
 
-const PASS_ON: Span = Span::from_millis(500);
+const PASS_ON_DELAY: Span = Span::from_millis(500);
 
 impl FlowTable {
-    /// Takes over the flows and tombstones of another agent and lists those it need not keep.
+    /// Takes over flows and tombstones of another agent and acknowledges them.
     pub(super) fn take_over(&mut self, now: Time, transfer: Transfer) {
         let from = transfer.from;
-        // A repeated transfer must not bring back flows that have moved on since.
-        if let Some((number, flows)) = self.taken.get(&from)
+        // A repeated transfer must not restore flows that have moved on since the first one.
+        if let Some((number, flows)) = self.answered_transfers.get(&from)
             && *number == transfer.number
         {
             let flows = flows.clone();
@@ -23,57 +23,59 @@
         let mut flows = Vec::with_capacity(transfer.flows.len());
         for state in transfer.flows {
             let flow = state.flow;
-            // A drained agent may exit at any time.
+            // A drained agent may exit at any time, so it takes over no flows.
             if !self.drained && self.take_flow(now, from, state) {
                 flows.push(flow);
             }
         }
-        for located in transfer.directory {
-            self.take_located(now, located);
+        for location in transfer.directory {
+            self.take_location(now, location);
         }
         for flow in transfer.closed {
             if !self.held.contains_key(&flow) {
-                self.bury(now, flow, Flow::new(now).close());
+                self.add_tombstone(now, flow, Flow::new(now).close());
             }
-            // Draining agents with old rosters would send a tombstone only to each other.
+            // While draining, leave it unacknowledged: agents with old rosters that drain at the
+            // same time would send a tombstone only to each other.
             if !self.draining {
                 flows.push(flow);
             }
         }
-        self.taken.insert(from, (transfer.number, flows.clone()));
+        self.answered_transfers
+            .insert(from, (transfer.number, flows.clone()));
         self.actions.push(Action::TookOver { flows });
     }
 
     fn take_flow(&mut self, now: Time, from: SocketAddrV4, state: FlowState) -> bool {
         let flow = state.flow;
         match self.held.get(&flow) {
-            Some(Held::Closing(_)) => return true,
+            Some(Held::Tombstone(_)) => return true,
             Some(Held::Moving(moving)) if moving.to() == from && self.settings.agent < from => {
-                // Both agents hand the flow to each other; the lower address keeps it.
-                self.leave_transits(&flow);
-                self.thaw(flow);
+                // Both agents hand the flow to each other; the one with the lower address keeps it.
+                self.remove_from_transfers(&flow);
+                self.unfreeze(flow);
             }
             Some(Held::Moving(_)) => return false,
-            Some(Held::Open(_)) if self.yields.get(&flow) == Some(&from) => {
-                self.yields.swap_remove(&flow);
+            Some(Held::Open(_)) if self.handover_targets.get(&flow) == Some(&from) => {
+                self.handover_targets.swap_remove(&flow);
             }
             Some(Held::Open(_)) => {}
             None => self.adopt_flow(now, from, flow),
         }
         self.merge(now, state);
-        // Draining agents with old rosters would hand a flow back and forth without a pause.
-        self.deferred.set(flow, now + PASS_ON);
+        // Without a delay, draining agents with old rosters would hand a flow back and forth.
+        self.requeue_timers.set(flow, now + PASS_ON_DELAY);
         true
     }
 
     fn adopt_flow(&mut self, now: Time, from: SocketAddrV4, flow: FlowId) {
-        // A repeated transfer may come after this agent has passed the flow on.
+        // A repeated transfer may arrive after this agent has handed the flow over.
         if let Some(entry) = self.directory.find(now, &flow)
             && entry.basis == Basis::Confirmed
             && entry.holder != from
             && self.membership.host_at(entry.holder).is_some()
         {
-            self.yields.insert(flow, entry.holder);
+            self.handover_targets.insert(flow, entry.holder);
         }
         self.directory.remove(&flow);
         self.held.insert(flow, Held::Open(Flow::new(now)));
@@ -90,8 +92,8 @@
         open.raise_sequence(state.sequence);
         open.state().inbox.merge_done(&state.done);
         let mut resent = Vec::new();
-        for output in state.output {
-            resent.extend(open.state().outbox.restore(now, output));
+        for unacked in state.unacked {
+            resent.extend(open.state().outbox.restore(now, unacked));
         }
         self.send_segments(flow, resent);
         self.schedule_resend(flow);
@@ -100,14 +102,14 @@
         }
     }
 
-    fn leave_transits(&mut self, flow: &FlowId) {
-        for transit in self.transits.values_mut() {
-            transit.flows.retain(|moving| moving != flow);
+    fn remove_from_transfers(&mut self, flow: &FlowId) {
+        for outgoing in self.outgoing_transfers.values_mut() {
+            outgoing.flows.retain(|moving| moving != flow);
         }
     }
 
-    fn take_located(&mut self, now: Time, located: Located) {
-        let Located { flow, holder } = located;
+    fn take_location(&mut self, now: Time, location: FlowLocation) {
+        let FlowLocation { flow, holder } = location;
         let is_known = self.held.contains_key(&flow) || self.directory.find(now, &flow).is_some();
         if holder != self.settings.agent && !is_known {
             let until = now + self.settings.idle;
@@ -118,10 +120,10 @@
         }
     }
 
-    /// Starts the periodic sweep with the first flow or directory entry.
+    /// Schedules the periodic sweep if it is not scheduled already.
     pub(super) fn start_sweep(&mut self, now: Time) {
-        if self.sweep <= now {
-            self.sweep = now + self.settings.idle.scale(1.0 / SWEEPS_PER_IDLE as f64);
+        if self.next_sweep <= now {
+            self.next_sweep = now + self.settings.idle.scale(1.0 / SWEEPS_PER_IDLE as f64);
         }
     }
 }
--- a/crates/flows/src/timers.rs
+++ b/crates/flows/src/timers.rs
@@ -3,7 +3,7 @@
 use indexmap::IndexMap;
 use usher_types::{FlowId, Time};
 
-/// One timer per flow, in order of time.
+/// At most one timer per flow, ordered by due time.
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
     due: IndexMap<FlowId, Time>,
@@ -28,7 +28,7 @@
         self.due.contains_key(flow)
     }
 
-    /// Removes and returns a flow whose time has come.
+    /// Removes and returns a flow whose timer is due.
     pub(crate) fn pop(&mut self, now: Time) -> Option<FlowId> {
         let (due, flow) = *self.order.first()?;
         if due > now {
--- a/crates/flows/src/transfer.rs
+++ b/crates/flows/src/transfer.rs
@@ -3,43 +3,43 @@
 use serde::{Deserialize, Serialize};
 use usher_types::{FlowId, Segment, Sequence};
 
-use crate::{Output, Ranges};
+use crate::{Ranges, UnackedMessage};
 
-/// State of one flow on its way to another agent.
+/// State of a flow that is handed over to another agent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FlowState {
     /// The flow.
     pub flow: FlowId,
     /// Sequence of the next packet to the caller.
     pub sequence: Sequence,
-    /// Messages that were given out.
+    /// Numbers of the messages already delivered to the service.
     pub done: Ranges,
-    /// Segments of incomplete messages.
+    /// Received segments of incomplete messages.
     pub segments: Vec<Segment>,
-    /// Messages to the caller that are not acknowledged yet.
-    pub output: Vec<Output>,
+    /// Messages to the caller that are not fully acknowledged.
+    pub unacked: Vec<UnackedMessage>,
 }
 
-/// A directory entry on its way to the bucket's next owner.
+/// A directory entry that is handed over to the bucket's next owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Located {
+pub struct FlowLocation {
     /// The flow.
     pub flow: FlowId,
     /// Address of the agent that holds it.
     pub holder: SocketAddrV4,
 }
 
-/// Flows and directory entries that one agent hands to another.
+/// Flows, directory entries and tombstones that one agent hands over to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transfer {
     /// Address of the sending agent.
     pub from: SocketAddrV4,
-    /// Number of the transfer; a repeated one has the same number.
+    /// Number of the transfer; a retry has the same number.
     pub number: u64,
-    /// Flows; the receiver holds them from now on.
+    /// Flows that the receiver is to hold.
     pub flows: Vec<FlowState>,
-    /// Flows that are held elsewhere.
-    pub directory: Vec<Located>,
-    /// Flows that were closed within the packet lifetime; a late `Open` may not open them.
+    /// Locations of flows that other agents hold.
+    pub directory: Vec<FlowLocation>,
+    /// Flows closed within the packet lifetime, which a late `Open` must not reopen.
     pub closed: Vec<FlowId>,
 }
--- a/crates/flows/tests/faults.rs
+++ b/crates/flows/tests/faults.rs
@@ -1,16 +1,16 @@
-//! Fault cases in a data file: three hosts, one flow whose candidates are a, b, c in that order.
+//! Fault cases from `faults.json`: three hosts and one flow with candidates a, b, c in order.
 
 mod net;
 
 use std::sync::Arc;
 
-use net::{Balancer, Caller, Net};
+use net::{Balancer, Caller, Network};
 use serde_json::Value;
 use usher_flows::Event;
 use usher_types::{Body, FlowId, Generation, HostState, Span, Version};
 
 struct Case {
-    net: Net,
+    net: Network,
     flow: FlowId,
     hosts: Vec<usize>,
     present: Vec<usize>,
@@ -18,7 +18,7 @@
 
 impl Case {
     fn new() -> Self {
-        let mut net = Net::default();
+        let mut net = Network::default();
         (0..3).for_each(|index| net.start(index));
         let flow: FlowId = "10.0.0.1:4000>192.0.2.1:80#7".parse().unwrap();
         net.callers.insert(flow, Caller::default());
@@ -29,20 +29,20 @@
             present: vec![0, 1, 2],
         };
         case.publish();
-        case.hosts = case.net.order(1, &flow);
-        let view = || Balancer {
+        case.hosts = case.net.ranked_hosts(1, &flow);
+        let balancer = || Balancer {
             rosters: vec![1],
             ..Balancer::default()
         };
-        case.net.balancers = vec![view(), view()];
+        case.net.balancers = vec![balancer(), balancer()];
         case
     }
 
-    // Every agent adopts the roster; balancers learn it by a step of the case.
+    // Every agent adopts the new roster; a balancer learns it in a `learn` step.
     fn publish(&mut self) {
         let member = |index: &usize| (*index, HostState::Serving, 1);
         let members: Vec<_> = self.present.iter().map(member).collect();
-        self.net.roster(&members);
+        self.net.add_roster(&members);
         let roster = Arc::clone(self.net.rosters.last().unwrap());
         for index in 0..3 {
             self.net.event(index, Event::Roster(Arc::clone(&roster)));
@@ -50,11 +50,11 @@
     }
 
     fn host(&self, name: &str) -> usize {
-        let place = ["a", "b", "c"].iter().position(|known| *known == name);
-        self.hosts[place.expect("host a, b or c")]
+        let offset = ["a", "b", "c"].iter().position(|known| *known == name);
+        self.hosts[offset.expect("host a, b or c")]
     }
 
-    fn take(&mut self, step: &str) {
+    fn apply(&mut self, step: &str) {
         let (verb, rest) = step.split_once(' ').unwrap_or((step, ""));
         let flow = self.flow;
         let number = rest.parse().unwrap_or(0);
@@ -70,9 +70,9 @@
                 let message = self.net.wire.pop_front().unwrap();
                 self.net.arrive(0, message);
             }
-            "lose" | "arrive" => self.first(verb, rest),
-            "busy" => self.wait(rest, 50),
-            "idle" => self.wait(rest, 0),
+            "lose" | "arrive" => self.take_first(verb, rest),
+            "busy" => self.set_wait(rest, 50),
+            "idle" => self.set_wait(rest, 0),
             "drain" => self.net.event(self.host(rest), Event::Drain),
             "without" => {
                 let host = self.host(rest);
@@ -117,18 +117,18 @@
         }
     }
 
-    fn wait(&mut self, name: &str, millis: u64) {
+    fn set_wait(&mut self, name: &str, millis: u64) {
         self.net
             .event(self.host(name), Event::Wait(Span::from_millis(millis)));
     }
 
-    fn first(&mut self, verb: &str, kind: &str) {
-        let place = self
+    fn take_first(&mut self, verb: &str, kind: &str) {
+        let offset = self
             .net
             .wire
             .iter()
             .position(|message| message.kind() == kind);
-        let message = self.net.wire.remove(place.expect(kind)).unwrap();
+        let message = self.net.wire.remove(offset.expect(kind)).unwrap();
         if verb == "lose" {
             self.net.lose(message);
         } else {
@@ -137,15 +137,15 @@
     }
 
     fn check(&self, expected: &str) -> bool {
-        let (what, rest) = expected.split_once(' ').unwrap();
+        let (property, rest) = expected.split_once(' ').unwrap();
         let caller = &self.net.callers[&self.flow];
-        let is = |count: usize| count.to_string() == rest;
-        match what {
-            "accepted" => is(self.net.accepted.values().sum::<u32>() as usize),
-            "delivered" => is(self.net.delivered.values().sum::<u32>() as usize),
-            "held" => is(self.net.held()),
-            "replied" => is(caller.replies.len()),
-            "reset" => is(usize::from(caller.reset)),
+        let equals = |count: usize| count.to_string() == rest;
+        match property {
+            "accepted" => equals(self.net.accepted.values().sum::<u32>() as usize),
+            "delivered" => equals(self.net.delivered.values().sum::<u32>() as usize),
+            "held" => equals(self.net.held()),
+            "replied" => equals(caller.replies.len()),
+            "reset" => equals(usize::from(caller.reset)),
             "holder" => {
                 let host = self.host(rest);
                 self.net.held() == 1 && self.net.tables[host].as_ref().unwrap().flows() == 1
@@ -161,7 +161,7 @@
     }
 }
 
-// Guards against what each row names.
+// Guards against the faults named in the `guards` fields of `faults.json`.
 #[test]
 fn fault_cases() {
     let rows: Vec<Value> = serde_json::from_str(include_str!("faults.json")).unwrap();
@@ -173,7 +173,7 @@
         };
         let mut case = Case::new();
         for step in texts("steps") {
-            case.take(&step);
+            case.apply(&step);
         }
         for expected in texts("expect") {
             if !case.check(&expected) {
--- a/crates/flows/tests/interleavings.rs
+++ b/crates/flows/tests/interleavings.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use net::{Balancer, Caller, Net};
+use net::{Balancer, Caller, Network};
 use proptest::prelude::*;
 use usher_flows::Event;
 use usher_types::{Body, FlowId, HostState, Span, Version};
@@ -12,7 +12,7 @@
 const HOSTS: usize = 4;
 const FLOWS: usize = 6;
 
-/// One step; numbers pick among what is possible at that point.
+/// A step of a run; its numbers select among the choices possible at that point.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Open(usize, usize),
@@ -49,21 +49,21 @@
     ]
 }
 
-/// The connected tables and the state of the planned changes.
-struct World {
-    net: Net,
+/// The connected tables and the progress of the planned changes.
+struct Simulation {
+    net: Network,
     adopted: [usize; HOSTS],
     states: [Option<HostState>; HOSTS],
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        let mut net = Net::default();
+        let mut net = Network::default();
         let states = [Some(HostState::Serving); HOSTS];
         for index in 0..HOSTS {
             net.start(index);
         }
-        net.roster(&members(states));
+        net.add_roster(&members(states));
         net.balancers = (0..2)
             .map(|_| Balancer {
                 rosters: vec![1],
@@ -73,25 +73,25 @@
         for number in 0..FLOWS {
             net.callers.insert(flow(number), Caller::default());
         }
-        let mut world = Self {
+        let mut simulation = Self {
             net,
             adopted: [0; HOSTS],
             states,
         };
         for index in 0..HOSTS {
-            world.adopt(index);
+            simulation.adopt(index);
         }
-        world
+        simulation
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         let net = &mut self.net;
         match step {
             Step::Open(number, via) => net.inject(via % 2, flow(number % FLOWS), Body::Open),
             Step::Message(number, via, size) => {
                 let flow = flow(number % FLOWS);
                 let caller = &net.callers[&flow];
-                if caller.accepted && !caller.closing && caller.next < 20 {
+                if caller.accepted && !caller.closing && caller.next_message < 20 {
                     net.message(via % 2, flow, size);
                 }
             }
@@ -117,7 +117,7 @@
             }
             Step::Repeat(pick) if !net.wire.is_empty() => {
                 let message = net.wire[pick % net.wire.len()].clone();
-                // An administration call is answered once; packets may be repeated.
+                // The network can duplicate packets, but not calls of the administration API.
                 if !matches!(message.kind(), "took-over" | "failed" | "handover") {
                     net.wire.push_back(message);
                 }
@@ -144,7 +144,7 @@
         }
     }
 
-    /// A drained host leaves; its process stays up to forward late packets.
+    /// Removes a drained host from the roster; its process still forwards late packets.
     fn leave(&mut self, index: usize) {
         if self.states[index].is_some() && self.net.drained.contains(&index) {
             self.states[index] = None;
@@ -152,9 +152,9 @@
         }
     }
 
-    // At most two rosters are under way, as balancers know no more earlier ones.
+    // No process is more than two rosters behind: balancers know no more than two earlier ones.
     fn publish(&mut self) {
-        self.net.roster(&members(self.states));
+        self.net.add_roster(&members(self.states));
         let oldest = self.net.rosters.len().saturating_sub(2);
         for via in 0..2 {
             while self.net.balancers[via].rosters[0] < oldest {
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Every drained host leaves, and all processes learn the last roster.
+    /// Removes all drained hosts; all processes learn the last roster.
     fn all_leave(&mut self) {
         (0..HOSTS).for_each(|index| self.leave(index));
         for _ in 0..self.net.rosters.len() {
@@ -198,8 +198,8 @@
         }
     }
 
-    /// No more faults: everyone adopts the last roster and everything under way arrives.
-    fn calm(&mut self) {
+    /// Runs without faults until rosters, messages and replies have arrived.
+    fn settle(&mut self) {
         for _ in 0..100 {
             self.all_leave();
             self.net.run(0);
@@ -227,23 +227,23 @@
         ..ProptestConfig::default()
     })]
 
-    // Guards against a flow that is opened twice, a message that runs twice or in part, and a
-    // flow that is lost or split while hosts drain and leave and rosters arrive in any order.
+    // Guards against opening a flow twice, delivering a message twice or in part, and losing or
+    // splitting a flow while hosts drain and leave and rosters arrive in any order.
     #[test]
     fn flows_survive_planned_changes(steps in prop::collection::vec(step(), 1..400)) {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for step in steps {
-            world.take(step);
+            simulation.apply(step);
         }
-        world.calm();
-        let net = &mut world.net;
+        simulation.settle();
+        let net = &mut simulation.net;
         let open: Vec<FlowId> =
             net.callers.iter().filter(|(_, c)| c.accepted && !c.closing).map(|(f, _)| *f).collect();
         for flow in &open {
             net.message(1, *flow, 3_000);
         }
-        world.calm();
-        let net = &world.net;
+        simulation.settle();
+        let net = &simulation.net;
         for (id, count) in &net.delivered {
             prop_assert_eq!(*count, 1, "{} was delivered again", id);
         }
@@ -256,9 +256,9 @@
             prop_assert!(caller.outbox.is_empty(), "{} lost a request", flow);
             prop_assert_eq!(caller.replies.len(), caller.sent.len(), "{} lost a reply", flow);
         }
-        let alive = net.callers.values().filter(|c| c.accepted && !c.closing).count();
-        prop_assert_eq!(net.held(), alive, "flows held by all agents");
-        let is_left = world.states.contains(&Some(HostState::Draining));
-        prop_assert!(!is_left, "a draining host still holds flows: {:?}", world.states);
+        let expected = net.callers.values().filter(|c| c.accepted && !c.closing).count();
+        prop_assert_eq!(net.held(), expected, "flows held by all agents");
+        let is_draining = simulation.states.contains(&Some(HostState::Draining));
+        prop_assert!(!is_draining, "a draining host still holds flows: {:?}", simulation.states);
     }
 }
--- a/crates/flows/tests/net/message.rs
+++ b/crates/flows/tests/net/message.rs
@@ -3,7 +3,7 @@
 use usher_flows::Transfer;
 use usher_types::{FlowId, HostId, Packet, Register, Registered, Relay};
 
-/// One message on its way.
+/// A message in flight; a host number names the receiver.
 #[derive(Debug, Clone)]
 pub enum Message {
     Relay(usize, Relay),
--- a/crates/flows/tests/net/mod.rs
+++ b/crates/flows/tests/net/mod.rs
@@ -17,19 +17,19 @@
 
 pub const BUCKETS: Buckets = Buckets::new(64);
 pub const GENERATION: Generation = Generation::new(2);
-const REOPEN: Span = Span::from_millis(300);
+const REQUEST_INTERVAL: Span = Span::from_millis(300);
 
-/// One balancer: the rosters that it routes by, newest first, and its hints.
+/// A balancer: the roster versions that it routes by, newest first, and its hints.
 #[derive(Debug, Default)]
 pub struct Balancer {
     pub rosters: Vec<usize>,
     pub hints: HashMap<FlowId, SocketAddrV4>,
 }
 
-/// One caller's flow.
+/// A caller and its only flow.
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "each flag is one packet that came"
+    reason = "each flag stands for a packet that was sent or received"
 )]
 #[derive(Debug, Default)]
 pub struct Caller {
@@ -41,12 +41,12 @@
     pub inbox: Inbox,
     pub sent: BTreeMap<u32, Vec<u8>>,
     pub replies: BTreeMap<u32, Vec<u8>>,
-    pub next: u32,
-    asked: Time,
+    pub next_message: u32,
+    last_request: Time,
 }
 
 #[derive(Debug, Default)]
-pub struct Net {
+pub struct Network {
     pub now: Time,
     pub tables: Vec<Option<FlowTable>>,
     pub rosters: Vec<Arc<Roster>>,
@@ -72,7 +72,7 @@
     usize::from(agent.port() - 7_000)
 }
 
-impl Net {
+impl Network {
     pub fn start(&mut self, index: usize) {
         let settings = Settings::new(
             "desk".parse().unwrap(),
@@ -87,8 +87,8 @@
         self.tables[index] = Some(FlowTable::new(settings));
     }
 
-    /// Adds the next roster version; members are host, state and incarnation.
-    pub fn roster(&mut self, members: &[(usize, HostState, u64)]) {
+    /// Adds the next roster version; each member is its host, state and incarnation.
+    pub fn add_roster(&mut self, members: &[(usize, HostState, u64)]) {
         let member = |(index, state, incarnation): &(usize, HostState, u64)| {
             let member = Member {
                 incarnation: Incarnation::new(*incarnation),
@@ -109,8 +109,8 @@
         }));
     }
 
-    /// Hosts of a flow's bucket in order under a roster, given by its version.
-    pub fn order(&self, version: usize, flow: &FlowId) -> Vec<usize> {
+    /// Serving hosts ranked for a flow's bucket under a roster version.
+    pub fn ranked_hosts(&self, version: usize, flow: &FlowId) -> Vec<usize> {
         let members = &self.rosters[version - 1].members;
         let serving = members
             .iter()
@@ -186,13 +186,13 @@
         assert_eq!(
             &self.callers[&id.flow].sent[&id.message.get()],
             bytes,
-            "not whole: {id}"
+            "message {id} differs from what its caller sent"
         );
         *self.delivered.entry(id).or_default() += 1;
         self.requests.push((index, id));
     }
 
-    /// Replies to all delivered messages with the caller's own bytes.
+    /// Answers each delivered message with its own bytes.
     pub fn reply_all(&mut self) {
         for (index, id) in std::mem::take(&mut self.requests) {
             self.reply(index, id);
@@ -212,12 +212,16 @@
     }
 
     pub fn route(&self, balancer: usize, flow: FlowId, body: Body) -> Relay {
-        let view = &self.balancers[balancer];
-        let newest = view.rosters[0];
-        let mut route: Vec<usize> = self.order(newest, &flow).into_iter().take(3).collect();
+        let routing = &self.balancers[balancer];
+        let newest = routing.rosters[0];
+        let mut route: Vec<usize> = self
+            .ranked_hosts(newest, &flow)
+            .into_iter()
+            .take(3)
+            .collect();
         let mut current = route.len();
-        for version in &view.rosters[1..] {
-            let earlier = self.order(*version, &flow).first().copied();
+        for version in &routing.rosters[1..] {
+            let earlier = self.ranked_hosts(*version, &flow).first().copied();
             route.extend(earlier.filter(|owner| !route.contains(owner)));
         }
         let members = &self.rosters[newest - 1].members;
@@ -229,7 +233,7 @@
         route.extend(missing);
         let mut route: Vec<SocketAddrV4> = route.into_iter().map(agent).collect();
         let mut mode = RelayMode::Owner;
-        if let Some(holder) = view.hints.get(&flow)
+        if let Some(holder) = routing.hints.get(&flow)
             && members.values().any(|member| member.agent == *holder)
         {
             current += usize::from(!route[..current].contains(holder));
@@ -256,8 +260,8 @@
 
     pub fn message(&mut self, balancer: usize, flow: FlowId, size: usize) {
         let caller = self.callers.get_mut(&flow).unwrap();
-        let number = caller.next;
-        caller.next += 1;
+        let number = caller.next_message;
+        caller.next_message += 1;
         let bytes = vec![number as u8; size];
         caller.sent.insert(number, bytes.clone());
         let segments = caller
@@ -269,11 +273,11 @@
         }
     }
 
-    /// Hands one message to its receiver.
+    /// Delivers one message to its receiver.
     pub fn arrive(&mut self, balancer: usize, message: Message) {
         match message {
             Message::Relay(to, relay) => self.event(to, Event::Relay(relay)),
-            Message::Caller(packet) => self.caller(balancer, packet),
+            Message::Caller(packet) => self.receive_packet(balancer, packet),
             Message::Register(to, from, register) => {
                 self.event(to, Event::Register { from, register });
             }
@@ -293,7 +297,7 @@
         }
     }
 
-    /// Loses one message; the sender of a handover gets a failure.
+    /// Drops one message; the sender of a handover is told that it failed.
     pub fn lose(&mut self, message: Message) {
         match message {
             Message::Handover(_, host, from, _) => self.wire.push_back(Message::Failed(from, host)),
@@ -303,7 +307,7 @@
         }
     }
 
-    fn caller(&mut self, balancer: usize, packet: Packet) {
+    fn receive_packet(&mut self, balancer: usize, packet: Packet) {
         let (now, flow) = (self.now, packet.flow);
         let Some(caller) = self.callers.get_mut(&flow) else {
             return;
@@ -325,7 +329,7 @@
                     assert_eq!(
                         caller.sent[&message.get()],
                         bytes,
-                        "reply of another request"
+                        "reply differs from its request"
                     );
                     assert!(caller.replies.insert(message.get(), bytes).is_none());
                 }
@@ -333,11 +337,11 @@
                     self.inject(balancer, flow, Body::Ack { message, index });
                 }
             }
-            Body::Open | Body::Close => panic!("an agent sent {:?}", packet.body),
+            Body::Open | Body::Close => panic!("an agent sent {:?} to a caller", packet.body),
         }
     }
 
-    /// Advances the clock; tables and callers do what is due.
+    /// Advances the clock and runs the due timers of tables and callers.
     pub fn advance(&mut self, balancer: usize, span: Span) {
         self.now = self.now + span;
         let now = self.now;
@@ -349,26 +353,26 @@
         }
         let flows: Vec<FlowId> = self.callers.keys().copied().collect();
         for flow in flows {
-            self.caller_due(balancer, flow);
+            self.tick_caller(balancer, flow);
         }
     }
 
-    fn caller_due(&mut self, balancer: usize, flow: FlowId) {
+    fn tick_caller(&mut self, balancer: usize, flow: FlowId) {
         let now = self.now;
         let caller = self.callers.get_mut(&flow).unwrap();
         if caller.closed || caller.reset {
             return;
         }
         let segments = caller.outbox.tick(now);
-        let asks = now.since(caller.asked) >= REOPEN;
-        if asks {
-            caller.asked = now;
+        let is_due = now.since(caller.last_request) >= REQUEST_INTERVAL;
+        if is_due {
+            caller.last_request = now;
         }
         let (accepted, closing) = (caller.accepted, caller.closing);
-        if asks && closing {
+        if is_due && closing {
             return self.inject(balancer, flow, Body::Close);
         }
-        if asks && !accepted {
+        if is_due && !accepted {
             self.inject(balancer, flow, Body::Open);
         }
         for segment in segments {
@@ -376,7 +380,7 @@
         }
     }
 
-    /// Delivers everything in order until nothing is under way.
+    /// Delivers messages in order until none is in flight.
     pub fn run(&mut self, balancer: usize) {
         let mut trace = Vec::new();
         for _ in 0..5_000 {
--- a/crates/flows/tests/segments.rs
+++ b/crates/flows/tests/segments.rs
@@ -1,4 +1,4 @@
-//! Segments: whole messages, once, within limits.
+//! Tests that messages arrive complete and once, within the limits.
 
 use assert_matches::assert_matches;
 use proptest::prelude::*;
@@ -7,7 +7,7 @@
 };
 use usher_types::{MessageId, Time};
 
-// Guards against growth of the idle flow, of which a fleet holds 330 million.
+// Guards against growth of an idle flow; a fleet holds 330 million of them.
 #[test]
 fn an_idle_flow_fits_200_bytes() {
     const DONE_BLOCK: usize = 32 + 16;
@@ -15,7 +15,7 @@
     const { assert!(FLOW_BYTES + DONE_BLOCK <= 200) };
 }
 
-// Guards against a message that no peer would accept being retransmitted for ever.
+// Guards against endless retransmission of a message that no peer accepts.
 #[test]
 fn a_message_beyond_the_limit_is_refused() {
     let mut outbox = Outbox::default();
@@ -47,7 +47,7 @@
     assert_eq!(receipts[8], Receipt::Full);
 }
 
-// Guards against a corrupted message being given out.
+// Guards against delivery of a corrupted message.
 #[test]
 fn a_checksum_mismatch_gives_no_message() {
     let mut outbox = Outbox::default();
@@ -62,12 +62,12 @@
 }
 
 proptest! {
-    // Guards against lost, repeated or mixed-up messages when segments and acknowledgements are
-    // lost, repeated and reordered.
+    // Guards against lost, duplicate or mixed-up messages when segments and acknowledgements are
+    // lost, duplicated and reordered.
     #[test]
     fn every_message_arrives_once_and_whole(
         sizes in prop::collection::vec(0_usize..100_000, 1..6),
-        fates in prop::collection::vec(0_u8..4, 1..64),
+        faults in prop::collection::vec(0_u8..4, 1..64),
     ) {
         let (mut outbox, mut inbox) = (Outbox::default(), Inbox::default());
         let messages: Vec<Vec<u8>> = sizes.iter().enumerate().map(|(n, size)| vec![n as u8; *size]).collect();
@@ -76,23 +76,23 @@
             wire.extend(outbox.push(Time::ZERO, MessageId::new(number as u32), bytes.clone()).unwrap());
         }
         let mut received = vec![None; messages.len()];
-        let mut fates = fates.into_iter().cycle();
+        let mut faults = faults.into_iter().cycle();
         let mut now = Time::ZERO;
         for _ in 0..10_000 {
             let Some(segment) = wire.pop() else {
                 let Some(due) = outbox.next_timer() else { break };
                 now = due;
                 wire = outbox.tick(now);
-                // The loss pattern must not repeat in step with the segments.
-                fates.next();
+                // Shifts the faults, or the same segments would be lost on every retransmission.
+                faults.next();
                 continue;
             };
-            let fate = fates.next().unwrap();
+            let fault = faults.next().unwrap();
             let (message, index) = (segment.message, segment.index);
-            if fate == 1 {
+            if fault == 1 {
                 wire.insert(0, segment.clone());
             }
-            if fate == 2 && now < Time::from_micros(60_000_000) {
+            if fault == 2 && now < Time::from_micros(60_000_000) {
                 continue;
             }
             let receipt = inbox.accept(segment);
@@ -100,7 +100,7 @@
             if let Receipt::Complete(bytes) = receipt {
                 prop_assert!(received[message.get() as usize].replace(bytes).is_none());
             }
-            if acknowledged && (fate != 3 || now >= Time::from_micros(60_000_000)) {
+            if acknowledged && (fault != 3 || now >= Time::from_micros(60_000_000)) {
                 wire.extend(outbox.acknowledge(now, message, index));
             }
         }
