--- a/crates/forwarding/src/agent/decision.rs
+++ b/crates/forwarding/src/agent/decision.rs
@@ -2,44 +2,44 @@
 
 use crate::{FlowKey, NodeId, Trip};
 
-/// What an agent does with a packet of a caller.
+/// An agent's decision about a packet from a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Inbound {
     /// Where the packet goes.
     pub step: Step,
-    /// Balancer that is told that this agent's backend server holds the flow.
+    /// Balancer to notify that this agent's backend server holds the flow.
     pub tell: Option<NodeId>,
 }
 
-/// Where a packet of a caller goes.
+/// What an agent does with a packet from a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// To the backend server; the token comes back with a packet that it returns.
+    /// Deliver to the backend server, which echoes the token if it returns the packet.
     Deliver {
-        /// Value to write into the packet; 0 when it cannot come back.
+        /// Value to write into the packet; 0 if the packet cannot be returned.
         token: u32,
-        /// The flow begins here.
+        /// The packet opens the flow at this backend server.
         opening: bool,
     },
-    /// To another agent.
+    /// Forward to another agent.
     Forward {
         /// The agent.
         to: NodeId,
-        /// The trip as that agent gets it.
+        /// The trip to send with the packet.
         trip: Trip,
-        /// Why it was not delivered here.
-        reason: Passed,
+        /// Why the packet was not delivered here.
+        reason: ForwardReason,
     },
-    /// The flow is refused: the caller gets a reset.
+    /// Refuse the flow; the caller gets a reset.
     Refuse {
         /// The flow.
         flow: FlowKey,
         /// Position up to which the caller has received.
         received: u32,
-        /// Shortest wait that any agent offered.
+        /// Shortest expected wait of the agents that were asked.
         wait: Option<Span>,
     },
-    /// No agent of the trip holds the flow; its balancer is told.
+    /// Notify the balancer that no agent of the trip holds the flow.
     Missing {
         /// The flow.
         flow: FlowKey,
@@ -48,40 +48,40 @@
         /// Position up to which the caller has received.
         received: u32,
     },
-    /// Kept until a slot is free; see [`Release`].
+    /// Queue the packet until a slot is free; see [`Release`].
     Hold,
-    /// Nowhere: the packet names nothing that is known, or its flow waits already.
+    /// Drop the packet: it matches no known flow, or its flow is already queued.
     Drop,
 }
 
-/// A flow that has waited for a slot.
+/// A queued flow that leaves the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Release {
     /// The flow.
     pub flow: FlowKey,
-    /// What becomes of the packet that was held.
+    /// Decision about the queued opening packet.
     pub inbound: Inbound,
 }
 
-/// Why an agent passed a packet on.
+/// Why an agent forwarded a packet instead of delivering it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Passed {
-    /// The packet is for another service.
+pub enum ForwardReason {
+    /// The opening packet is for another service.
     OtherService,
-    /// The backend server takes no new flows, or has not been heard yet.
+    /// The backend server takes no new flows, or has sent no heartbeat yet.
     NotServing,
-    /// The backend server does not answer.
+    /// The backend server leaves opening packets unanswered.
     Silent,
     /// All slots are taken.
     Busy,
-    /// The backend server returned it.
+    /// The backend server returned the packet.
     Returned,
     /// The backend server does not hold the flow.
     NotHeld,
 }
 
-impl Passed {
-    /// The reason as a word for logs and metrics.
+impl ForwardReason {
+    /// Name of the reason in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::OtherService => "other-service",
@@ -94,14 +94,14 @@
     }
 }
 
-/// What an agent does with a packet of its backend server.
+/// An agent's decision about a packet from its backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outbound {
-    /// To the caller.
+    /// Send to the caller.
     ToCaller {
-        /// Time that the request took which the packet begins to answer.
+        /// Processing time, if the packet is the first of an answer.
         work: Option<Span>,
     },
-    /// Back into the system, as a packet of the caller.
+    /// A returned packet of the caller, which is decided on again.
     Inward(Inbound),
 }
--- a/crates/forwarding/src/agent/flow_table.rs
+++ b/crates/forwarding/src/agent/flow_table.rs
@@ -4,9 +4,9 @@
 use super::entry::{Entry, Phase};
 use crate::FlowKey;
 
-// Late copies of a closed flow's last packets still belong to its backend server. A sender repeats
-// a packet after 1.6 s at the latest.
-const LINGER: Span = Span::from_secs(4);
+// Late copies of a closed flow's last packets still go to its backend server. A sender repeats a
+// packet after 1.6 s at the latest.
+const CLOSED_RETENTION: Span = Span::from_secs(4);
 
 /// The flows of one backend server.
 #[derive(Debug, Clone, Default)]
@@ -31,49 +31,52 @@
         self.entries.len()
     }
 
-    /// Flows that still have work to do at the backend server.
+    /// Number of flows that are not closed.
     pub(crate) fn open(&self) -> usize {
         let open = |entry: &&Entry| entry.phase != Phase::Closed;
         self.entries.values().filter(open).count()
     }
 
-    /// Requests in work or waiting at the backend server.
+    /// Number of flows that take a slot at the backend server, or will.
     pub(crate) fn working(&self, now: Time) -> usize {
         let working = |entry: &&Entry| entry.is_working(now);
         self.entries.values().filter(working).count()
     }
 
-    /// Forgets flows that are over; `idle` is the longest silence of an open flow.
+    /// Removes flows that have ended; an open flow ends after `idle` without packets.
     pub(crate) fn expire(&mut self, now: Time, idle: Span) {
         self.entries.retain(|_, entry| {
-            let silent = now - entry.seen;
+            let silent = now - entry.last_seen;
             match entry.phase {
-                Phase::Closed => silent < LINGER,
+                Phase::Closed => silent < CLOSED_RETENTION,
                 _ => silent < idle,
             }
         });
     }
 
-    /// Removes the flows that began before `since`, which are gone; returns those that were open, with
-    /// the position that callers received. Of later flows it is not known whether they are gone.
+    /// Removes the flows that began before `since`, which are lost with the previous process.
+    ///
+    /// Returns those that were held, each with the position up to which its caller has received.
+    /// Later flows may be held by the new process, so they stay, but no longer count as open: the
+    /// backend server may return their packets.
     pub(crate) fn clear_before(&mut self, since: Time) -> Vec<(FlowKey, u32)> {
-        let mut gone = Vec::new();
+        let mut lost = Vec::new();
         self.entries.retain(|flow, entry| {
-            if entry.since >= since {
+            if entry.first_seen >= since {
                 if entry.phase == Phase::Open {
                     entry.phase = Phase::Answered;
                 }
                 return true;
             }
             if entry.is_held() {
-                gone.push((*flow, entry.received()));
+                lost.push((*flow, entry.received()));
             }
             false
         });
-        gone
+        lost
     }
 
-    /// Removes all flows; returns those that were open, with the position that callers received.
+    /// Removes all flows; returns those that were held, as [`Self::clear_before`] does.
     pub(crate) fn clear(&mut self) -> Vec<(FlowKey, u32)> {
         let entries = self.entries.drain(..);
         let open = entries.filter(|(_, entry)| entry.is_held());
--- a/crates/forwarding/src/agent/hunt.rs
+++ b/crates/forwarding/src/agent/forward.rs
@@ -1,17 +1,19 @@
 use usher_types::Span;
 
-use super::decision::{Inbound, Passed, Release, Step};
+use super::decision::{ForwardReason, Inbound, Release, Step};
 use crate::trip::Best;
 use crate::{FlowKey, Head, Trip};
 
-/// Passes an opening packet on; at the end of the trip it goes to the shortest queue seen, unless its
-/// wait exceeds the limit.
-pub(crate) fn hunt(
+/// Forwards an opening packet to the next candidate.
+///
+/// After the last candidate it goes to the agent with the shortest wait seen, or is refused if that
+/// wait exceeds `max_wait`.
+pub(crate) fn route_opening(
     flow: FlowKey,
     trip: &Trip,
     own: Option<Best>,
-    limit: Span,
-    reason: Passed,
+    max_wait: Span,
+    reason: ForwardReason,
 ) -> Inbound {
     let tell = None;
     let best = [trip.best, own]
@@ -23,7 +25,7 @@
         let step = Step::Forward { to, trip, reason };
         return Inbound { step, tell };
     }
-    let step = match best.filter(|best| !trip.last && best.wait <= limit) {
+    let step = match best.filter(|best| !trip.last && best.wait <= max_wait) {
         Some(best) => Step::Forward {
             to: best.node,
             trip: Trip {
@@ -42,8 +44,8 @@
     Inbound { step, tell }
 }
 
-/// Passes a packet of an existing flow to the next agent that may hold it.
-pub(crate) fn pass(head: &Head, trip: &Trip, reason: Passed) -> Inbound {
+/// Forwards a packet of an established flow to the next candidate.
+pub(crate) fn route_established(head: &Head, trip: &Trip, reason: ForwardReason) -> Inbound {
     let step = match trip.next() {
         Some((to, trip)) => Step::Forward { to, trip, reason },
         None => Step::Missing {
@@ -55,8 +57,8 @@
     Inbound { step, tell: None }
 }
 
-/// Refuses a flow that has waited.
-pub(crate) fn refuse(flow: FlowKey) -> Release {
+/// Refuses a queued flow.
+pub(crate) fn refuse_queued(flow: FlowKey) -> Release {
     let step = Step::Refuse {
         flow,
         received: 0,
--- a/crates/forwarding/src/agent/host.rs
+++ b/crates/forwarding/src/agent/host.rs
@@ -1,9 +1,9 @@
 use crate::HostWord;
 
-/// The backend server beside the agent, in one state of its life.
+/// The backend server on the agent's host, in one state of its life cycle.
 ///
-/// A state is entered by consuming the one before, so an agent cannot give work to a backend
-/// server that it has not heard, or that is leaving.
+/// Each transition consumes the previous state, so an agent cannot give work to a backend server
+/// that has sent no heartbeat or is leaving.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Host<State> {
     word: HostWord,
@@ -14,11 +14,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Serving;
 
-/// Keeps its flows and takes no new ones.
+/// Finishes its flows and takes no new ones.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Draining;
 
-/// Has left or was replaced; it holds nothing.
+/// Has left; holds no flows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Ended;
 
@@ -31,32 +31,32 @@
     }
 
     pub(crate) fn drain(self) -> Host<Draining> {
-        self.with(Draining)
+        self.into_state(Draining)
     }
 }
 
 impl Host<Draining> {
-    /// A later word takes the departure back.
+    /// A later heartbeat without the draining flag resumes service.
     pub(crate) fn resume(self) -> Host<Serving> {
-        self.with(Serving)
+        self.into_state(Serving)
     }
 }
 
 impl<State> Host<State> {
     pub(crate) fn end(self) -> Host<Ended> {
-        self.with(Ended)
+        self.into_state(Ended)
     }
 
     pub(crate) fn word(&self) -> &HostWord {
         &self.word
     }
 
-    /// Takes a later word of the same process.
+    /// Stores a later heartbeat of the same process.
     pub(crate) fn update(&mut self, word: HostWord) {
         self.word = word;
     }
 
-    fn with<Next>(self, state: Next) -> Host<Next> {
+    fn into_state<Next>(self, state: Next) -> Host<Next> {
         Host {
             word: self.word,
             state,
--- a/crates/forwarding/src/agent/life.rs
+++ b/crates/forwarding/src/agent/lifecycle.rs
@@ -3,25 +3,25 @@
 use super::host::{Draining, Ended, Host, Serving};
 use crate::{HostState, HostWord};
 
-/// What became of a word of the backend server.
+/// Effect of a heartbeat of the backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Heard {
-    /// The first word of a process; flows of earlier processes are gone.
+    /// First heartbeat of a process; flows of earlier processes are lost.
     Started,
-    /// A later word of the known process that changes its state.
+    /// A later heartbeat of the known process that changes its state.
     Changed,
-    /// A later word of the known process.
+    /// A later heartbeat of the known process; the state is unchanged.
     Confirmed,
-    /// A word that a later one has overtaken; it changes nothing.
+    /// Older than a heartbeat already received; ignored.
     Late,
-    /// The word names another service; it changes nothing.
+    /// Names another service; ignored.
     Foreign,
 }
 
-/// What the agent knows of its backend server.
+/// Life cycle of the agent's backend server.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub(crate) enum Life {
-    /// Nothing since the agent started.
+pub(crate) enum HostLifecycle {
+    /// No heartbeat since the agent started.
     #[default]
     Unheard,
     /// See [`Serving`].
@@ -32,7 +32,7 @@
     Ended(Host<Ended>),
 }
 
-impl Life {
+impl HostLifecycle {
     pub(crate) fn word(&self) -> Option<&HostWord> {
         match self {
             Self::Unheard => None,
@@ -51,12 +51,13 @@
         }
     }
 
-    /// Takes a word; `silent` tells that the known process has missed its heartbeats. The start
-    /// of a process is read from a clock that may step back, so an earlier start is a later process
-    /// when the known one is silent.
-    pub(crate) fn hear(&mut self, word: HostWord, silent: bool) -> Heard {
+    /// Applies a heartbeat; `silent` says that the known process has missed its heartbeats.
+    ///
+    /// A process reads its start time from a clock that may step back, so an earlier start time is
+    /// accepted as a later process while the known one is silent.
+    pub(crate) fn on_heartbeat(&mut self, word: HostWord, silent: bool) -> Heard {
         let Some(known) = self.word() else {
-            *self = begin(word);
+            *self = from_heartbeat(word);
             return Heard::Started;
         };
         let same = known.id == word.id && known.born == word.born;
@@ -64,15 +65,15 @@
             return Heard::Late;
         }
         if !same {
-            *self = begin(word);
+            *self = from_heartbeat(word);
             return Heard::Started;
         }
         let before = self.state();
         *self = match (mem::take(self), word.draining) {
             (Self::Serving(host), true) => Self::Draining(host.drain()),
             (Self::Draining(host), false) => Self::Serving(host.resume()),
-            (Self::Unheard | Self::Ended(_), _) => begin(word.clone()),
-            (life, _) => life,
+            (Self::Unheard | Self::Ended(_), _) => from_heartbeat(word.clone()),
+            (lifecycle, _) => lifecycle,
         };
         match self {
             Self::Serving(host) => host.update(word),
@@ -86,26 +87,26 @@
         }
     }
 
-    /// The backend server takes its leave; `false` if another process is there by now.
-    pub(crate) fn leave(&mut self, id: &str) -> bool {
+    /// Ends the process `id`; `false` if it is not the current process.
+    pub(crate) fn on_leave(&mut self, id: &str) -> bool {
         if self.word().is_none_or(|word| word.id != id) {
             return false;
         }
         *self = match mem::take(self) {
             Self::Serving(host) => Self::Ended(host.end()),
             Self::Draining(host) => Self::Ended(host.end()),
-            life => life,
+            lifecycle => lifecycle,
         };
         true
     }
 }
 
-fn begin(word: HostWord) -> Life {
+fn from_heartbeat(word: HostWord) -> HostLifecycle {
     let draining = word.draining;
     let host = Host::start(word);
     if draining {
-        Life::Draining(host.drain())
+        HostLifecycle::Draining(host.drain())
     } else {
-        Life::Serving(host)
+        HostLifecycle::Serving(host)
     }
 }
--- a/crates/forwarding/src/agent/mod.rs
+++ b/crates/forwarding/src/agent/mod.rs
@@ -1,16 +1,16 @@
-//! What an agent decides: which packets its backend server gets, and where the others go.
+//! An agent's decisions: which packets its backend server gets, and where the others go.
 
 mod decision;
 mod entry;
 mod flow_table;
+mod forward;
 mod host;
-mod hunt;
-mod life;
-mod meter;
+mod host_monitor;
+mod lifecycle;
 mod path;
-mod trips;
-mod waiting;
+mod pending_deliveries;
+mod wait_queue;
 
-pub use decision::{Inbound, Outbound, Passed, Release, Step};
-pub use life::Heard;
+pub use decision::{ForwardReason, Inbound, Outbound, Release, Step};
+pub use lifecycle::Heard;
 pub use path::AgentPath;
--- a/crates/forwarding/src/agent/path.rs
+++ b/crates/forwarding/src/agent/path.rs
@@ -1,48 +1,48 @@
 use usher_types::{Slots, Span, Time};
 
-use super::decision::{Inbound, Outbound, Passed, Release, Step};
+use super::decision::{ForwardReason, Inbound, Outbound, Release, Step};
 use super::entry::{Entry, Phase};
 use super::flow_table::FlowTable;
-use super::hunt::{hunt, pass, refuse};
-use super::life::{Heard, Life};
-use super::meter::Meter;
-use super::trips::Trips;
-use super::waiting::Waiting;
+use super::forward::{refuse_queued, route_established, route_opening};
+use super::host_monitor::HostMonitor;
+use super::lifecycle::{Heard, HostLifecycle};
+use super::pending_deliveries::PendingDeliveries;
+use super::wait_queue::WaitQueue;
 use crate::trip::Best;
 use crate::{FlowKey, Head, HostState, HostWord, Load, NodeId, ServiceKey, Trip};
 
-// Requests beyond its slots that a backend server is given while others may be free: the next one
-// then starts without waiting for the caller's side of the handshake.
-const AHEAD: u16 = 1;
-// The same while all hosts are busy: a slot that is idle for a handshake costs more than a short
+// Requests beyond the slots that a backend server gets while other hosts may be free. The next
+// request then starts without waiting for the caller's part of the handshake.
+const EXTRA_REQUESTS: u16 = 1;
+// The same while all hosts are busy. A slot that is idle during a handshake costs more than a short
 // queue at the backend server.
-const AHEAD_BUSY: u16 = 2;
-// A process of the backend server may have taken flows for this long before its first heartbeat
-// is heard: one is lost, and the next one comes 1.2 s later.
-const UNHEARD: Span = Span::from_millis(2_500);
-// Two heartbeats are missing. They come every 1.2 s.
-const SILENT: Span = Span::from_millis(2_700);
+const EXTRA_REQUESTS_BUSY: u16 = 2;
+// Longest time that a backend server takes flows before its first heartbeat arrives: one heartbeat
+// is lost, and the next one comes 1.2 s later.
+const FIRST_HEARTBEAT_DELAY: Span = Span::from_millis(2_500);
+// Two missed heartbeats; they come every 1.2 s.
+const HEARTBEAT_TIMEOUT: Span = Span::from_millis(2_700);
 
-/// The decisions of one agent about packets. Performs no I/O.
+/// The forwarding decisions of one agent. Performs no I/O.
 #[derive(Debug, Clone)]
 pub struct AgentPath {
     node: NodeId,
     service: ServiceKey,
-    name: String,
-    life: Life,
-    /// When the word in `life` was heard.
-    heard: Time,
+    service_name: String,
+    lifecycle: HostLifecycle,
+    /// When the heartbeat in `lifecycle` arrived.
+    heard_at: Time,
     flows: FlowTable,
-    trips: Trips,
-    waiting: Waiting,
-    meter: Meter,
+    deliveries: PendingDeliveries,
+    wait_queue: WaitQueue,
+    monitor: HostMonitor,
     stopping: bool,
-    /// Flows older than this may be missing from the table.
+    /// From this time on, all flows of the backend server are in the table.
     complete_at: Time,
 }
 
 impl AgentPath {
-    /// An agent that starts at `now`; flows that exist by then end within `flow_life`.
+    /// Creates an agent; flows that exist at `now` end within `flow_life`.
     ///
     /// ```
     /// use usher_forwarding::{AgentPath, HostState};
@@ -55,52 +55,54 @@
         Self {
             node,
             service: ServiceKey::of(service),
-            name: service.to_owned(),
-            life: Life::default(),
-            heard: now,
+            service_name: service.to_owned(),
+            lifecycle: HostLifecycle::default(),
+            heard_at: now,
             flows: FlowTable::default(),
-            trips: Trips::new(),
-            waiting: Waiting::default(),
-            meter: Meter::default(),
+            deliveries: PendingDeliveries::new(),
+            wait_queue: WaitQueue::default(),
+            monitor: HostMonitor::default(),
             stopping: false,
             complete_at: now + flow_life,
         }
     }
 
-    /// Takes a heartbeat. With `Started`, the flows of earlier processes are returned, each with
-    /// the position that its caller received: they are gone.
+    /// Applies a heartbeat. With `Started`, also returns the flows that were lost with earlier
+    /// processes, each with the position up to which its caller has received.
     pub fn hear(&mut self, now: Time, word: HostWord) -> (Heard, Vec<(FlowKey, u32)>) {
-        if word.service != self.name {
+        if word.service != self.service_name {
             return (Heard::Foreign, Vec::new());
         }
-        let first = self.life.word().is_none();
-        let heard = self.life.hear(word, now - self.heard > SILENT);
+        let first = self.lifecycle.word().is_none();
+        let heard = self
+            .lifecycle
+            .on_heartbeat(word, now - self.heard_at > HEARTBEAT_TIMEOUT);
         if heard != Heard::Late {
-            self.heard = now;
+            self.heard_at = now;
         }
-        let mut gone = Vec::new();
+        let mut lost_flows = Vec::new();
         if heard == Heard::Started && !first {
-            self.meter.forget();
-            gone = self.flows.clear_before(now - UNHEARD);
+            self.monitor.reset();
+            lost_flows = self.flows.clear_before(now - FIRST_HEARTBEAT_DELAY);
         }
-        (heard, gone)
+        (heard, lost_flows)
     }
 
-    /// Takes the farewell of the backend server; returns its open flows, which are gone.
+    /// Ends the backend server `id`; returns its lost flows as `hear` does.
     pub fn leave(&mut self, now: Time, id: &str) -> Option<Vec<(FlowKey, u32)>> {
-        if !self.life.leave(id) {
+        if !self.lifecycle.on_leave(id) {
             return None;
         }
         self.complete_at = now;
         Some(self.flows.clear())
     }
 
-    /// Takes no new flows from now on.
+    /// Makes the agent take no new flows.
     pub fn stop(&mut self) {
         self.stopping = true;
     }
 
-    /// Decides on a packet that a balancer or another agent sent.
+    /// Decides on a packet from a balancer or another agent.
     pub fn on_packet(&mut self, now: Time, head: &Head, trip: &Trip) -> Inbound {
         let flow = head.inbound();
         if let Some(entry) = self.flows.get_mut(&flow) {
@@ -109,22 +111,22 @@
             let token = if settled {
                 0
             } else {
-                self.trips.keep(flow, *trip)
+                self.deliveries.issue_token(flow, *trip)
             };
             let step = Step::Deliver {
                 token,
                 opening: false,
             };
-            return self.told(step, trip);
+            return self.with_notice(step, trip);
         }
         if head.opens() {
             return self.on_opening(now, flow, trip);
         }
-        let known = now >= self.complete_at || self.life.state() == HostState::Ended;
+        let known = now >= self.complete_at || self.lifecycle.state() == HostState::Ended;
         if known {
-            return pass(head, trip, Passed::NotHeld);
+            return route_established(head, trip, ForwardReason::NotHeld);
         }
-        let token = self.trips.keep(flow, *trip);
+        let token = self.deliveries.issue_token(flow, *trip);
         let step = Step::Deliver {
             token,
             opening: false,
@@ -132,12 +134,12 @@
         Inbound { step, tell: None }
     }
 
-    /// Decides on a packet that the backend server sent.
+    /// Decides on a packet from the backend server.
     pub fn on_host_packet(&mut self, now: Time, head: &Head) -> Outbound {
         if head.flags.returned {
             return Outbound::Inward(self.on_returned(now, head));
         }
-        self.meter.heard_host();
+        self.monitor.host_responded();
         let flow = head.outbound();
         let Some(entry) = self.flows.get_mut(&flow) else {
             let answers_opening = head.flags.opening;
@@ -151,96 +153,96 @@
             .filter(|_| !head.flags.resetting)
             .map(|start| now - start);
         if let Some(work) = work {
-            self.meter.sample(work);
+            self.monitor.record_work(work);
         }
         Outbound::ToCaller { work }
     }
 
-    /// State that is reported to balancers.
+    /// State of the host as reported to balancers.
     pub fn state(&self) -> HostState {
-        match self.life.state() {
+        match self.lifecycle.state() {
             HostState::Serving if self.stopping => HostState::Draining,
             state => state,
         }
     }
 
-    /// The backend server's latest word.
+    /// The latest heartbeat of the backend server.
     pub fn word(&self) -> Option<&HostWord> {
-        self.life.word()
+        self.lifecycle.word()
     }
 
-    /// Requests at the backend server, and flows that wait for it.
+    /// Load of the backend server, including queued flows.
     pub fn load(&self, now: Time) -> Load {
-        self.meter
-            .load(self.flows.working(now) + self.waiting.len())
+        self.monitor
+            .load(self.flows.working(now) + self.wait_queue.len())
     }
 
-    /// Flows that need not wait any longer: a slot is free, or their callers give up.
+    /// Removes flows from the queue that get a slot or have waited too long.
     pub fn release(&mut self, now: Time) -> Vec<Release> {
         let mut released = Vec::new();
-        for waiter in self.waiting.expire(now) {
-            released.push(refuse(waiter.flow));
+        for queued in self.wait_queue.expire(now) {
+            released.push(refuse_queued(queued.flow));
         }
-        while self.state() != HostState::Serving || self.has_room(now, AHEAD_BUSY) {
-            let Some(waiter) = self.waiting.pop() else {
+        while self.state() != HostState::Serving || self.has_room(now, EXTRA_REQUESTS_BUSY) {
+            let Some(queued) = self.wait_queue.pop() else {
                 break;
             };
             if self.state() != HostState::Serving {
-                released.push(refuse(waiter.flow));
+                released.push(refuse_queued(queued.flow));
                 continue;
             }
             released.push(Release {
-                flow: waiter.flow,
-                inbound: self.admit(now, waiter.flow, &waiter.trip),
+                flow: queued.flow,
+                inbound: self.admit(now, queued.flow, &queued.trip),
             });
         }
         released
     }
 
-    /// Flows that are open at the backend server.
+    /// Number of flows that are open at the backend server.
     pub fn open(&self) -> usize {
         self.flows.open()
     }
 
-    /// Flows in memory, those that have just closed included.
+    /// Number of flows in memory, including recently closed ones.
     pub fn held(&self) -> usize {
         self.flows.len()
     }
 
-    /// Forgets flows that are over.
+    /// Removes flows that have ended; an open flow ends after `idle` without packets.
     pub fn expire(&mut self, now: Time, idle: Span) {
         self.flows.expire(now, idle);
     }
 
     fn on_opening(&mut self, now: Time, flow: FlowKey, trip: &Trip) -> Inbound {
         if trip.service != self.service {
-            return self.pass_on(now, flow, trip, None, Passed::OtherService);
+            return self.forward_opening(now, flow, trip, None, ForwardReason::OtherService);
         }
         if self.state() != HostState::Serving {
-            return self.pass_on(now, flow, trip, None, Passed::NotServing);
+            return self.forward_opening(now, flow, trip, None, ForwardReason::NotServing);
         }
-        if self.waiting.contains(&flow) {
+        if self.wait_queue.contains(&flow) {
             return Inbound {
                 step: Step::Drop,
                 tell: None,
             };
         }
-        if !trip.last && self.meter.is_silent(now) {
-            return self.pass_on(now, flow, trip, None, Passed::Silent);
+        if !trip.last && self.monitor.is_silent(now) {
+            return self.forward_opening(now, flow, trip, None, ForwardReason::Silent);
         }
-        if self.waiting.len() == 0 && self.has_room(now, AHEAD) {
+        if self.wait_queue.len() == 0 && self.has_room(now, EXTRA_REQUESTS) {
             return self.admit(now, flow, trip);
         }
         let wait = self.wait(now, trip.rank);
         if !trip.last {
-            return self.pass_on(now, flow, trip, Some(wait), Passed::Busy);
+            return self.forward_opening(now, flow, trip, Some(wait), ForwardReason::Busy);
         }
-        if self.waiting.len() == 0 && self.has_room(now, AHEAD_BUSY) {
+        if self.wait_queue.len() == 0 && self.has_room(now, EXTRA_REQUESTS_BUSY) {
             return self.admit(now, flow, trip);
         }
         let tell = None;
-        let limit = self.limit(now, trip);
-        if wait > limit || self.waiting.is_full() {
+        let max_wait = self.max_wait(now, trip);
+        if wait > max_wait || self.wait_queue.is_full() {
             let step = Step::Refuse {
                 flow,
                 received: 0,
@@ -248,59 +250,61 @@
             };
             return Inbound { step, tell };
         }
-        self.waiting.push(now, flow, *trip, limit);
-        // Copies of the packet have to come here too, or the flow would open twice.
-        self.told(Step::Hold, trip)
+        self.wait_queue.push(now, flow, *trip, max_wait);
+        // Copies of the packet have to be sent here too, or the flow would open twice.
+        self.with_notice(Step::Hold, trip)
     }
 
-    // Time until a new flow of a rank gets a slot.
+    // Expected time until a new flow of this rank gets a slot.
     fn wait(&self, now: Time, rank: u8) -> Span {
-        let ahead = self.flows.working(now) + self.waiting.ahead(rank);
-        self.meter.load(ahead).wait(self.slots())
+        let ahead = self.flows.working(now) + self.wait_queue.ahead(rank);
+        self.monitor.load(ahead).wait(self.slots())
     }
 
-    fn pass_on(
+    fn forward_opening(
         &self,
         now: Time,
         flow: FlowKey,
         trip: &Trip,
         wait: Option<Span>,
-        reason: Passed,
+        reason: ForwardReason,
     ) -> Inbound {
         let node = self.node;
         let own = wait.map(|wait| Best { node, wait });
-        hunt(flow, trip, own, self.limit(now, trip), reason)
+        route_opening(flow, trip, own, self.max_wait(now, trip), reason)
     }
 
-    fn limit(&self, now: Time, trip: &Trip) -> Span {
-        Waiting::limit(trip, self.load(now).work())
+    fn max_wait(&self, now: Time, trip: &Trip) -> Span {
+        WaitQueue::max_wait(trip, self.load(now).work())
     }
 
     fn slots(&self) -> Slots {
-        self.life.word().map_or(Slots::new(1), |word| word.slots)
+        self.lifecycle
+            .word()
+            .map_or(Slots::new(1), |word| word.slots)
     }
 
     // Whether the backend server has a slot free, or will have one by the end of a handshake.
     fn has_room(&self, now: Time, ahead: u16) -> bool {
         let room = usize::from(self.slots().get() + ahead);
-        self.flows.working(now) < room && !self.meter.is_full(now)
+        self.flows.working(now) < room && !self.monitor.is_full(now)
     }
 
     fn admit(&mut self, now: Time, flow: FlowKey, trip: &Trip) -> Inbound {
         self.flows.insert(flow, Entry::new(now, Phase::Opening));
-        self.meter.delivered_opening(now);
-        let token = self.trips.keep(flow, *trip);
+        self.monitor.delivered_opening(now);
+        let token = self.deliveries.issue_token(flow, *trip);
         let step = Step::Deliver {
             token,
             opening: true,
         };
-        self.told(step, trip)
+        self.with_notice(step, trip)
     }
 
     fn on_returned(&mut self, now: Time, head: &Head) -> Inbound {
         let flow = head.inbound();
-        let Some(trip) = self.trips.take(&flow, head.token) else {
-            // A flow that was open is gone with the process that held it.
+        let Some(trip) = self.deliveries.take_trip(&flow, head.token) else {
+            // An open flow is lost with the process that held it.
             let lost = self
                 .flows
                 .remove(&flow)
@@ -314,15 +318,15 @@
         };
         self.flows.remove(&flow);
         if head.opens() {
-            self.meter.heard_host();
-            self.meter.returned_opening(now);
-            return self.pass_on(now, flow, &trip, None, Passed::Returned);
+            self.monitor.host_responded();
+            self.monitor.returned_opening(now);
+            return self.forward_opening(now, flow, &trip, None, ForwardReason::Returned);
         }
-        pass(head, &trip, Passed::Returned)
+        route_established(head, &trip, ForwardReason::Returned)
     }
 
-    // A balancer that did not send the packet here first learns where the flow is.
-    fn told(&self, step: Step, trip: &Trip) -> Inbound {
+    // Notifies the balancer where the flow is, unless this agent is the first candidate.
+    fn with_notice(&self, step: Step, trip: &Trip) -> Inbound {
         let first = trip.candidates.as_slice().first() == Some(&self.node);
         let tell = (!first && trip.origin != NodeId::NONE).then_some(trip.origin);
         Inbound { step, tell }
--- a/crates/forwarding/src/balancer/directory.rs
+++ b/crates/forwarding/src/balancer/directory.rs
@@ -4,32 +4,32 @@
 use usher_types::{DataCentre, Span, Time};
 
 use super::host_record::HostRecord;
-use super::pace::Pace;
+use super::report_rate::ReportRate;
 use super::view::{HostView, ServiceView, View};
 use crate::{Configuration, HostState, NodeId, Report, ServiceKey};
 
-// A host that has been silent for this long is forgotten, if other hosts are heard.
-const FORGET: Span = Span::from_secs(30);
-// Flows of a host that ended are over for their callers after the longest life of a flow; the
-// record keeps late reports of the ended process from reviving it.
-const KEEP_ENDED: Span = Span::from_secs(10);
+// A silent host is removed after this time, if other hosts are heard.
+const REMOVE_AFTER: Span = Span::from_secs(30);
+// Flows of an ended host are over for their callers after the longest life of a flow. The record is
+// kept so that late reports of the ended process do not make the host present again.
+const ENDED_RETENTION: Span = Span::from_secs(10);
 
-/// The hosts that a balancer knows, from the reports of their agents.
+/// The hosts that a balancer knows from the reports of their agents.
 #[derive(Debug, Clone)]
 pub struct Directory {
     centre: DataCentre,
     hosts: IndexMap<NodeId, HostRecord>,
     /// Reports for the balancers of this data centre since the last digest.
-    inward: IndexMap<NodeId, Report>,
+    local: IndexMap<NodeId, Report>,
     /// Reports for other data centres since the last digest.
-    outward: IndexMap<NodeId, Report>,
-    /// Whether one of the reports for other data centres tells more than a load.
+    remote: IndexMap<NodeId, Report>,
+    /// Whether a report for other data centres changes more than the load.
     urgent: bool,
-    since: Time,
+    started: Time,
 }
 
 impl Directory {
-    /// An empty directory of a balancer in a data centre, started at `now`.
+    /// An empty directory of a balancer of `centre` that starts at `now`.
     ///
     /// ```
     /// use usher_forwarding::Directory;
@@ -42,29 +42,32 @@
         Self {
             centre,
             hosts: IndexMap::new(),
-            inward: IndexMap::new(),
-            outward: IndexMap::new(),
+            local: IndexMap::new(),
+            remote: IndexMap::new(),
             urgent: false,
-            since: now,
+            started: now,
         }
     }
 
-    /// Takes a report that its agent sent here; `true` if the view has to be published again.
+    /// Applies a report from the agent itself.
     ///
-    /// It goes into the next digests if its agent reports to few balancers.
+    /// Returns `true` if the view has to be published again.
+    /// The report goes into the next digests if the agent reports to only a few balancers.
     pub fn hear_direct(&mut self, now: Time, node: NodeId, report: &Report) -> bool {
-        let changed = self.hear(now, node, report, Pace::Fast);
+        let changed = self.apply_report(now, node, report, ReportRate::Fast);
         if report.few {
-            self.inward.insert(node, report.clone());
-            self.outward.insert(node, report.clone());
+            self.local.insert(node, report.clone());
+            self.remote.insert(node, report.clone());
             self.urgent |= changed;
         }
         changed
     }
 
-    /// Takes a report that another balancer relays; `true` if the view has to be published again.
+    /// Applies a relayed report.
     ///
-    /// What comes from another data centre goes into the next digest for this one.
+    /// Returns `true` if the view has to be published again.
+    /// `from` is the data centre of the balancer that relays it. A report from another data centre
+    /// goes into the next digest for this one.
     pub fn hear_relayed(
         &mut self,
         now: Time,
@@ -73,60 +76,67 @@
         from: Option<&DataCentre>,
     ) -> bool {
         let host = self.hosts.get(&node);
-        let overtaken = host.is_some_and(|host| host.overtakes(report));
-        if !overtaken && from.is_some_and(|centre| *centre != self.centre) {
-            self.inward.insert(node, report.clone());
+        let superseded = host.is_some_and(|host| host.supersedes(report));
+        if !superseded && from.is_some_and(|centre| *centre != self.centre) {
+            self.local.insert(node, report.clone());
         }
-        let pace = if report.centre == self.centre {
-            Pace::Fast
+        let report_rate = if report.centre == self.centre {
+            ReportRate::Fast
         } else {
-            Pace::Slow
+            ReportRate::Slow
         };
-        self.hear(now, node, report, pace)
+        self.apply_report(now, node, report, report_rate)
     }
 
     /// Reports for the other balancers of this data centre, since the last call.
-    pub fn inward_digest(&mut self) -> Vec<(NodeId, Report)> {
-        self.inward.drain(..).collect()
+    pub fn local_digest(&mut self) -> Vec<(NodeId, Report)> {
+        self.local.drain(..).collect()
     }
 
-    /// Whether reports for other data centres tell more than a load, and should not wait.
+    /// Whether the digest for other data centres must be sent at once.
     pub fn is_urgent(&self) -> bool {
         self.urgent
     }
 
     /// Reports for other data centres, since the last call.
-    pub fn outward_digest(&mut self) -> Vec<(NodeId, Report)> {
+    pub fn remote_digest(&mut self) -> Vec<(NodeId, Report)> {
         self.urgent = false;
-        self.outward.drain(..).collect()
+        self.remote.drain(..).collect()
     }
 
-    fn hear(&mut self, now: Time, node: NodeId, report: &Report, pace: Pace) -> bool {
+    fn apply_report(
+        &mut self,
+        now: Time,
+        node: NodeId,
+        report: &Report,
+        report_rate: ReportRate,
+    ) -> bool {
         match self.hosts.get_mut(&node) {
-            Some(host) if host.overtakes(report) => false,
-            Some(host) => host.update(now, report, pace),
+            Some(host) if host.supersedes(report) => false,
+            Some(host) => host.update(now, report, report_rate),
             None => {
-                self.hosts.insert(node, HostRecord::new(now, report, pace));
+                self.hosts
+                    .insert(node, HostRecord::new(now, report, report_rate));
                 true
             }
         }
     }
 
-    /// Forgets hosts that are gone; `true` if the view has to be published again.
+    /// Removes hosts that are gone; `true` if the view has to be published again.
     ///
-    /// When no host has been heard lately, the balancer itself is cut off and nothing is forgotten.
+    /// If no host has been heard lately, the balancer itself is cut off, and it keeps silent hosts.
     pub fn expire(&mut self, now: Time) -> bool {
-        let Some(latest) = self.hosts.values().map(|host| host.heard).max() else {
+        let Some(latest) = self.hosts.values().map(|host| host.last_heard).max() else {
             return false;
         };
         let before = self.hosts.len();
         self.hosts.retain(|_, host| {
             let keep = match host.state {
-                HostState::Ended => KEEP_ENDED,
-                _ => FORGET,
+                HostState::Ended => ENDED_RETENTION,
+                _ => REMOVE_AFTER,
             };
-            latest - host.heard < keep
-                && (host.state != HostState::Ended || now - host.heard < keep)
+            latest - host.last_heard < keep
+                && (host.state != HostState::Ended || now - host.last_heard < keep)
         });
         self.hosts.len() != before
     }
@@ -141,13 +151,13 @@
         self.hosts.iter().map(|(node, host)| (*node, &host.centre))
     }
 
-    /// State and age of what is known of a host.
+    /// State of a host and the age of its last report.
     pub fn state(&self, now: Time, node: NodeId) -> Option<(HostState, Span)> {
         let host = self.hosts.get(&node)?;
-        Some((host.state, now - host.heard))
+        Some((host.state, now - host.last_heard))
     }
 
-    /// The view for the traffic thread under a configuration.
+    /// Builds the view for the traffic thread.
     pub fn view(&self, configuration: Arc<Configuration>, previous: &View) -> View {
         let mut services: IndexMap<ServiceKey, ServiceView> = IndexMap::new();
         let mut nodes: Vec<_> = self.hosts.iter().collect();
@@ -156,15 +166,15 @@
             let view = services.entry(host.service).or_default();
             view.hosts.push(HostView {
                 node: *node,
-                near: host.centre == self.centre,
+                same_centre: host.centre == self.centre,
                 state: host.state,
                 slots: host.slots,
                 warm_at: host.warm_at,
-                pace: host.pace,
-                cell: Arc::clone(&host.cell),
+                report_rate: host.report_rate,
+                shared_load: Arc::clone(&host.shared_load),
             });
-            view.changed = view.changed.max(host.first_heard);
+            view.last_joined = view.last_joined.max(host.first_heard);
         }
-        View::new(self.since, configuration, services, previous)
+        View::new(self.started, configuration, services, previous)
     }
 }
--- a/crates/forwarding/src/balancer/flow_cache.rs
+++ b/crates/forwarding/src/balancer/flow_cache.rs
@@ -7,29 +7,31 @@
 
 // 32,768 flows in each of two generations take about 3 MB.
 const GENERATION_FLOWS: usize = 32_768;
-// A generation is dropped when it is older than two of these; an idle flow closes sooner.
-const GENERATION_LIFE: Span = Span::from_secs(30);
+// A flow that is not used for two of these periods is dropped; an idle flow closes sooner.
+const GENERATION_PERIOD: Span = Span::from_secs(30);
 
-/// What a balancer has learned of a flow's host.
+/// What a balancer knows about the host of a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Known {
+pub(crate) enum FlowLocation {
     /// This host holds the flow.
     At(NodeId),
-    /// The agents of this many rounds of the search do not hold it.
+    /// This many search rounds have not found the host.
     Searched(u8),
 }
 
-/// Which hosts hold flows, as far as this balancer has learned. Bounded; only a cache.
+/// Bounded cache of the hosts that hold flows.
+///
+/// Entries that are not used move from the young generation to the old one, which is dropped.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct FlowCache {
-    young: IndexMap<FlowKey, Known>,
-    old: IndexMap<FlowKey, Known>,
-    turned: Time,
+    young: IndexMap<FlowKey, FlowLocation>,
+    old: IndexMap<FlowKey, FlowLocation>,
+    rotated_at: Time,
 }
 
 impl FlowCache {
-    /// What is known of a flow; a flow in use stays in the cache.
-    pub(crate) fn get(&mut self, flow: &FlowKey) -> Option<Known> {
+    /// Looks up a flow and moves its entry to the young generation.
+    pub(crate) fn get(&mut self, flow: &FlowKey) -> Option<FlowLocation> {
         if let Some(known) = self.young.get(flow) {
             return Some(*known);
         }
@@ -38,11 +40,11 @@
         Some(known)
     }
 
-    pub(crate) fn insert(&mut self, now: Time, flow: FlowKey, known: Known) {
-        let old = now - self.turned >= GENERATION_LIFE;
+    pub(crate) fn insert(&mut self, now: Time, flow: FlowKey, known: FlowLocation) {
+        let old = now - self.rotated_at >= GENERATION_PERIOD;
         if old || self.young.len() >= GENERATION_FLOWS {
             self.old = mem::take(&mut self.young);
-            self.turned = now;
+            self.rotated_at = now;
         }
         self.young.insert(flow, known);
     }
--- a/crates/forwarding/src/balancer/host_record.rs
+++ b/crates/forwarding/src/balancer/host_record.rs
@@ -2,16 +2,16 @@
 
 use usher_types::{DataCentre, Sequence, Slots, Span, Time};
 
-use super::load_cell::LoadCell;
-use super::pace::Pace;
+use super::report_rate::ReportRate;
+use super::shared_load::SharedLoad;
 use crate::{HostState, Report, ServiceKey};
 
-/// What a balancer knows of one host.
+/// What a balancer knows about one host.
 #[derive(Debug, Clone)]
 pub(crate) struct HostRecord {
     pub(crate) epoch: u64,
-    /// The process before; its late reports are of no use.
-    former: u64,
+    /// Epoch of the previous agent process; its late reports are ignored.
+    previous_epoch: u64,
     pub(crate) sequence: Sequence,
     pub(crate) centre: DataCentre,
     pub(crate) service: ServiceKey,
@@ -20,18 +20,18 @@
     pub(crate) slots: Slots,
     pub(crate) warm_at: Time,
     pub(crate) first_heard: Time,
-    pub(crate) heard: Time,
-    pub(crate) pace: Pace,
-    pub(crate) cell: Arc<LoadCell>,
+    pub(crate) last_heard: Time,
+    pub(crate) report_rate: ReportRate,
+    pub(crate) shared_load: Arc<SharedLoad>,
 }
 
 impl HostRecord {
-    pub(crate) fn new(now: Time, report: &Report, pace: Pace) -> Self {
-        let cell = Arc::new(LoadCell::default());
-        cell.report(now, report.load);
+    pub(crate) fn new(now: Time, report: &Report, report_rate: ReportRate) -> Self {
+        let shared_load = Arc::new(SharedLoad::default());
+        shared_load.report(now, report.load);
         Self {
             epoch: report.epoch,
-            former: report.epoch,
+            previous_epoch: report.epoch,
             sequence: report.sequence,
             centre: report.centre.clone(),
             service: report.service,
@@ -40,42 +40,54 @@
             slots: report.slots,
             warm_at: now + report.warmup,
             first_heard: now,
-            heard: now,
-            pace,
-            cell,
+            last_heard: now,
+            report_rate,
+            shared_load,
         }
     }
 
-    /// Whether a report is older than what is known.
-    pub(crate) fn overtakes(&self, report: &Report) -> bool {
+    /// Whether the record is at least as new as a report.
+    pub(crate) fn supersedes(&self, report: &Report) -> bool {
         if self.epoch == report.epoch {
             return self.sequence >= report.sequence;
         }
-        self.former == report.epoch
+        self.previous_epoch == report.epoch
     }
 
-    /// Takes a newer report; `true` if anything but load has changed.
-    pub(crate) fn update(&mut self, now: Time, report: &Report, pace: Pace) -> bool {
-        let before = (self.service, self.state, self.born, self.slots, self.pace);
+    /// Applies a newer report; `true` if anything but the load has changed.
+    pub(crate) fn update(&mut self, now: Time, report: &Report, report_rate: ReportRate) -> bool {
+        let before = (
+            self.service,
+            self.state,
+            self.born,
+            self.slots,
+            self.report_rate,
+        );
         let after = (
             report.service,
             report.state,
             report.born,
             report.slots,
-            pace,
+            report_rate,
         );
         let warm_at = now + report.warmup;
         let warmed = report.warmup == Span::ZERO && self.warm_at > now;
         if self.epoch != report.epoch {
-            self.former = self.epoch;
+            self.previous_epoch = self.epoch;
             self.epoch = report.epoch;
         }
         self.sequence = report.sequence;
         self.centre = report.centre.clone();
-        (self.service, self.state, self.born, self.slots, self.pace) = after;
+        (
+            self.service,
+            self.state,
+            self.born,
+            self.slots,
+            self.report_rate,
+        ) = after;
         self.warm_at = warm_at;
-        self.heard = now;
-        self.cell.report(now, report.load);
+        self.last_heard = now;
+        self.shared_load.report(now, report.load);
         before != after || warmed
     }
 }
--- a/crates/forwarding/src/balancer/mod.rs
+++ b/crates/forwarding/src/balancer/mod.rs
@@ -1,13 +1,13 @@
-//! What a balancer decides: which agent a packet goes to.
+//! A balancer's decisions: which agent each packet goes to.
 
 mod directory;
 mod flow_cache;
 mod host_record;
-mod load_cell;
-mod pace;
 mod path;
 mod placement;
+mod report_rate;
 mod search;
+mod shared_load;
 mod view;
 
 pub use directory::Directory;
--- a/crates/forwarding/src/balancer/path.rs
+++ b/crates/forwarding/src/balancer/path.rs
@@ -1,57 +1,57 @@
 use usher_types::{Span, Time};
 
-use super::flow_cache::{FlowCache, Known};
+use super::flow_cache::{FlowCache, FlowLocation};
 use super::placement::Cost;
 use super::search;
 use super::view::{HostView, View};
 use crate::{Candidates, FlowKey, Head, Hint, HostState, NodeId, ServiceKey, Trip};
 
-// Time that a balancer gives the hosts to report before it concludes that one is gone.
-const SETTLE: Span = Span::from_secs(5);
-// Hosts among which a new flow is placed. Fewer than a search visits, so that some hosts may join
-// a large service before the first round of a search misses a flow.
-const PLACES: usize = 12;
+// Time that a balancer leaves hosts to report before it concludes that one is gone.
+const SETTLE_TIME: Span = Span::from_secs(5);
+// Hosts that a new flow may be placed on. Fewer than one search round visits, so that a few hosts
+// can join a large service before the first round misses a flow.
+const PLACEMENT_HOSTS: usize = 12;
 
-/// What a balancer does with a packet.
+/// A balancer's decision about a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// To an agent.
+    /// Forward to an agent.
     Send {
         /// The agent.
         to: NodeId,
-        /// The packet's way.
+        /// The trip to send with the packet.
         trip: Trip,
         /// How the agent was found.
         how: Found,
     },
-    /// The caller gets a reset.
+    /// Send a reset to the caller.
     Reset {
         /// The flow.
         flow: FlowKey,
         /// Position up to which the caller has received.
         received: u32,
-        /// Why.
+        /// Why the flow is reset.
         reason: Refused,
     },
-    /// Nothing can be done.
+    /// Drop the packet.
     Drop(Refused),
 }
 
 /// How a balancer found the agent for a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Found {
-    /// A new flow was placed.
+    /// The packet opens a flow, which was placed on a host.
     Placed {
-        /// Age of the report by which the host was chosen.
+        /// Age of the report that the choice of the host is based on.
         age: Span,
-        /// Requests that the host had by then.
+        /// Requests at the host by that report, plus flows placed since then.
         working: u16,
-        /// Hosts that could have been chosen.
+        /// Number of hosts to choose from.
         among: u8,
     },
-    /// The cache knows the flow.
+    /// The flow cache names the host of the flow.
     Cached,
-    /// The flow is searched among all hosts that may hold it.
+    /// The packet visits the hosts that may hold the flow.
     Searched,
 }
 
@@ -60,18 +60,18 @@
 pub enum Refused {
     /// No configuration has been read yet.
     Unconfigured,
-    /// No route has the address.
+    /// No route uses the address.
     NoRoute,
-    /// The service has no host.
+    /// No host of the service takes new flows.
     NoHost,
-    /// The host of the flow is gone.
+    /// No host holds the flow, so its host is gone.
     HostGone,
-    /// The flow is unknown, and a host that may hold it is not heard.
+    /// Hosts that may take or hold the flow may not have reported yet.
     Unsettled,
 }
 
 impl Refused {
-    /// The reason as a word for logs and metrics.
+    /// Name of the reason in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Unconfigured => "unconfigured",
@@ -83,7 +83,7 @@
     }
 }
 
-/// The decisions of one balancer about packets. Performs no I/O.
+/// The forwarding decisions of one balancer. Performs no I/O.
 #[derive(Debug, Clone)]
 pub struct BalancerPath {
     node: NodeId,
@@ -91,7 +91,7 @@
 }
 
 impl BalancerPath {
-    /// A balancer that knows no flows.
+    /// Creates a balancer with an empty flow cache.
     ///
     /// ```
     /// use usher_forwarding::BalancerPath;
@@ -103,19 +103,19 @@
         Self { node, cache }
     }
 
-    /// Decides on a packet of a caller.
+    /// Decides on a packet from a caller.
     pub fn on_packet(&mut self, now: Time, head: &Head, view: &View) -> Verdict {
         let flow = head.inbound();
         if head.opens() {
             return self.on_opening(now, flow, view);
         }
         let round = match self.cache.get(&flow) {
-            Some(Known::At(node)) => {
+            Some(FlowLocation::At(node)) => {
                 let mut candidates = Candidates::default();
                 candidates.push(node);
                 return self.send(node, candidates, ServiceKey::NONE, Found::Cached);
             }
-            Some(Known::Searched(round)) => round,
+            Some(FlowLocation::Searched(round)) => round,
             None => 0,
         };
         if view.route(&flow.address).is_none() {
@@ -128,19 +128,21 @@
         }
     }
 
-    /// Takes what an agent tells of a flow; a reset follows when its host is known to be gone.
+    /// Applies a hint from an agent.
+    ///
+    /// Returns a reset if the flow's host is known to be gone.
     pub fn on_hint(&mut self, now: Time, hint: &Hint, view: &View) -> Option<Verdict> {
         match *hint {
             Hint::Held { flow, node } => {
-                self.cache.insert(now, flow, Known::At(node));
+                self.cache.insert(now, flow, FlowLocation::At(node));
                 None
             }
             Hint::Missing { flow, received } => self.on_missing(now, flow, received, view),
         }
     }
 
-    // The next packet of a missing flow goes to the next round of agents; a flow that all of them
-    // miss is gone.
+    // The next packet of the flow goes to the agents of the next search round. After the last round
+    // the flow is lost.
     fn on_missing(
         &mut self,
         now: Time,
@@ -149,16 +151,16 @@
         view: &View,
     ) -> Option<Verdict> {
         let next = match self.cache.get(&flow) {
-            Some(Known::Searched(round)) => round.saturating_add(1),
-            Some(Known::At(_)) => 0,
+            Some(FlowLocation::Searched(round)) => round.saturating_add(1),
+            Some(FlowLocation::At(_)) => 0,
             None => 1,
         };
         if !search::round(view, &flow, next).as_slice().is_empty() {
-            self.cache.insert(now, flow, Known::Searched(next));
+            self.cache.insert(now, flow, FlowLocation::Searched(next));
             return None;
         }
         self.cache.remove(&flow);
-        if !view.is_settled(now, SETTLE) {
+        if !view.is_settled(now, SETTLE_TIME) {
             return Some(Verdict::Drop(Refused::Unsettled));
         }
         Some(Verdict::Reset {
@@ -183,26 +185,26 @@
         let Some(service) = route.service(flow.hash(0)) else {
             return refuse(Refused::NoHost);
         };
-        let hosts = search::shortlist(view.hosts(service), &flow, PLACES);
+        let hosts = search::shortlist(view.hosts(service), &flow, PLACEMENT_HOSTS);
         let ranked = rank(now, &hosts, &flow);
         let known = self.cache.get(&flow);
-        // A copy of an opening packet follows the first one while its host is heard.
-        let again = ranked
+        // A copy of an opening packet goes to the host of the first one while that host is heard.
+        let repeated = ranked
             .iter()
-            .position(|(cost, host)| known == Some(Known::At(host.node)) && cost.is_fit());
-        let first = again.unwrap_or(0);
+            .position(|(cost, host)| known == Some(FlowLocation::At(host.node)) && cost.is_fit());
+        let first = repeated.unwrap_or(0);
         let Some((_, chosen)) = ranked.get(first).filter(|(cost, _)| cost.serves()) else {
-            // Hosts may not have reported yet to a balancer that has just started; the caller
-            // repeats its packet.
-            let settled = now - view.started >= SETTLE;
+            // Hosts may not have reported yet to a balancer that has just started. The caller
+            // retransmits its packet.
+            let settled = now - view.started >= SETTLE_TIME;
             return if settled {
                 refuse(Refused::NoHost)
             } else {
                 Verdict::Drop(Refused::Unsettled)
             };
         };
-        if again.is_none() {
-            chosen.cell.place();
+        if repeated.is_none() {
+            chosen.shared_load.count_placed();
         }
         let mut candidates = Candidates::default();
         candidates.push(chosen.node);
@@ -211,10 +213,10 @@
                 candidates.push(host.node);
             }
         }
-        self.cache.insert(now, flow, Known::At(chosen.node));
+        self.cache.insert(now, flow, FlowLocation::At(chosen.node));
         let placed = Found::Placed {
-            age: now - chosen.cell.heard(),
-            working: chosen.cell.load().working,
+            age: now - chosen.shared_load.reported_at(),
+            working: chosen.shared_load.load().working,
             among: candidates.as_slice().len() as u8,
         };
         let mut verdict = self.send(chosen.node, candidates, service, placed);
@@ -240,8 +242,12 @@
     }
 }
 
+// Hosts that have not ended, by rising cost of placing the flow on them.
 fn rank<'a>(now: Time, hosts: &[&'a HostView], flow: &FlowKey) -> Vec<(Cost, &'a HostView)> {
-    let latest = hosts.iter().map(|host| host.cell.heard()).max();
+    let latest = hosts
+        .iter()
+        .map(|host| host.shared_load.reported_at())
+        .max();
     let latest = latest.unwrap_or(now);
     let mut ranked: Vec<_> = hosts
         .iter()
--- a/crates/forwarding/src/balancer/placement.rs
+++ b/crates/forwarding/src/balancer/placement.rs
@@ -3,66 +3,75 @@
 use super::view::HostView;
 use crate::{FlowKey, HostState, Load};
 
-// Expected gain below which a flow stays in its data centre: the crossing there and back, and the
-// price of the answer's bytes.
-const CROSSING: Span = Span::from_millis(8);
-// A backend server is this much slower until it is warm.
-const COLD: f64 = 1.6;
-// Share of the work that a fully busy host adds, so that flows spread before slots run out.
-const SPREAD: f64 = 0.25;
-// Ties are broken by the flow's hash within this time.
-const TIE: u64 = 1_000;
+// Expected gain below which a flow stays in its data centre: the round trip to another one and the
+// traffic cost of the answer.
+const CROSS_CENTRE_COST: Span = Span::from_millis(8);
+// A backend server is slower by this factor until it is warm.
+const COLD_FACTOR: f64 = 1.6;
+// Share of the processing time that is added for a fully busy host, so that flows spread before
+// slots run out.
+const SPREAD_SHARE: f64 = 0.25;
+// Ties are broken by up to 1 ms, drawn from the hash of flow and host.
+const TIE_BREAK_MICROS: u64 = 1_000;
 
-/// How well a host would serve a new flow; the lowest is the best.
+/// Cost of placing a new flow on a host; the lowest is the best.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Cost {
-    /// Hosts that cannot take a flow come last.
-    unfit: Unfit,
+    /// Compared first, so that unfit hosts come last.
+    fitness: Fitness,
     total: Span,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Unfit {
+enum Fitness {
     Fit,
     Suspected,
     NotServing,
 }
 
 impl Cost {
-    /// Cost at `now`; `latest` is the time of the latest report of any host, so that a balancer
-    /// that hears nobody suspects nobody.
+    /// Cost of a flow on a host at `now`.
+    ///
+    /// A host is suspected if its last report is much older than `latest`, the newest report of any
+    /// host. So a balancer that gets no reports suspects no host.
     pub(crate) fn of(now: Time, latest: Time, host: &HostView, flow: &FlowKey) -> Self {
-        let unfit = if host.state != HostState::Serving {
-            Unfit::NotServing
-        } else if latest - host.cell.heard() > host.pace.suspect() {
-            Unfit::Suspected
+        let fitness = if host.state != HostState::Serving {
+            Fitness::NotServing
+        } else if latest - host.shared_load.reported_at() > host.report_rate.suspect_after() {
+            Fitness::Suspected
         } else {
-            Unfit::Fit
+            Fitness::Fit
         };
-        let load = host.cell.load();
+        let load = host.shared_load.load();
         let work = if host.warm_at > now {
-            load.work().scale(COLD)
+            load.work().scale(COLD_FACTOR)
         } else {
             load.work()
         };
         let mean = work;
         let load = Load { mean, ..load };
         let busy = f64::from(load.working) / f64::from(host.slots.get().max(1));
-        let crossing = if host.near { Span::ZERO } else { CROSSING };
-        let tie = flow.hash(u64::from(u32::from(host.node.address()))) % TIE;
+        let crossing = if host.same_centre {
+            Span::ZERO
+        } else {
+            CROSS_CENTRE_COST
+        };
+        let tie = flow.hash(u64::from(u32::from(host.node.address()))) % TIE_BREAK_MICROS;
         let total = load.wait(host.slots)
             + work
-            + work.scale(SPREAD * busy)
+            + work.scale(SPREAD_SHARE * busy)
             + crossing
             + Span::from_micros(tie);
-        Self { unfit, total }
+        Self { fitness, total }
     }
 
+    /// Whether the host serves and its reports are recent.
     pub(crate) fn is_fit(&self) -> bool {
-        self.unfit == Unfit::Fit
+        self.fitness == Fitness::Fit
     }
 
+    /// Whether the host takes new flows, as far as is known.
     pub(crate) fn serves(&self) -> bool {
-        self.unfit != Unfit::NotServing
+        self.fitness != Fitness::NotServing
     }
 }
--- a/crates/forwarding/src/balancer/search.rs
+++ b/crates/forwarding/src/balancer/search.rs
@@ -1,8 +1,9 @@
 use super::view::{HostView, View};
 use crate::{Candidates, FlowKey, HostState, NodeId};
 
-/// The hosts of a service that a flow belongs to: all of a small service, the first ones by
-/// rendezvous hashing of a large one. Every balancer finds nearly the same.
+/// The first `length` hosts of a service for a flow, by rendezvous hashing.
+///
+/// Balancers whose views differ by a few hosts still get nearly the same list.
 pub(crate) fn shortlist<'a>(
     hosts: &'a [HostView],
     flow: &FlowKey,
@@ -15,8 +16,9 @@
     list
 }
 
-/// The agents that one round of a search for a flow visits: those of the route's services first,
-/// then all others. Empty after the last round.
+/// The agents that one round of a search for a flow visits.
+///
+/// Those of the route's services come first, then all others. Empty after the last round.
 pub(crate) fn round(view: &View, flow: &FlowKey, round: u8) -> Candidates {
     let mut candidates = Candidates::default();
     let skipped = usize::from(round) * Candidates::MAX;
@@ -30,8 +32,8 @@
         let hosts = view.hosts(service);
         let mut list = shortlist(hosts, flow, hosts.len());
         if list.len() <= Candidates::MAX {
-            // All are visited in one round, and new flows prefer the own data centre.
-            list.sort_by_key(|host| !host.near);
+            // One round visits all of them. New flows prefer the own data centre, so begin there.
+            list.sort_by_key(|host| !host.same_centre);
         }
         nodes.extend(list.iter().map(|host| host.node));
         if nodes.len() >= skipped + Candidates::MAX {
@@ -44,7 +46,7 @@
     candidates
 }
 
-// Lower is earlier.
+// Hosts with a lower score come first.
 fn score(flow: &FlowKey, node: NodeId) -> u64 {
     flow.hash(u64::from(u32::from(node.address())))
 }
--- a/crates/forwarding/src/balancer/load_cell.rs
+++ b/crates/forwarding/src/balancer/shared_load.rs
@@ -4,32 +4,33 @@
 
 use crate::Load;
 
-/// Load of a host, written by the control thread and read by the traffic thread.
+/// Load of a host, shared between the control thread and the traffic thread.
 ///
-/// The values need not be of one moment, so relaxed order is enough.
+/// The control thread stores reports and the traffic thread counts placed flows. The values may
+/// stem from different reports, so relaxed ordering is enough.
 #[derive(Debug, Default)]
-pub(crate) struct LoadCell {
-    heard: AtomicU64,
+pub(crate) struct SharedLoad {
+    reported_at: AtomicU64,
     working: AtomicU16,
     mean: AtomicU64,
     placed: AtomicU16,
 }
 
-impl LoadCell {
-    /// Takes a report; flows placed before it are part of it.
+impl SharedLoad {
+    /// Stores a report, which includes the flows placed before it.
     pub(crate) fn report(&self, now: Time, load: Load) {
         self.working.store(load.working, Ordering::Relaxed);
         self.mean.store(load.mean.as_micros(), Ordering::Relaxed);
         self.placed.store(0, Ordering::Relaxed);
-        self.heard.store(now.as_micros(), Ordering::Relaxed);
+        self.reported_at.store(now.as_micros(), Ordering::Relaxed);
     }
 
-    /// A flow was sent to the host.
-    pub(crate) fn place(&self) {
+    /// Counts a flow that was sent to the host after the last report.
+    pub(crate) fn count_placed(&self) {
         self.placed.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Load with the flows that were placed since the last report.
+    /// Last reported load plus the flows placed since then.
     pub(crate) fn load(&self) -> Load {
         let placed = self.placed.load(Ordering::Relaxed);
         Load {
@@ -39,7 +40,7 @@
     }
 
     /// Time of the last report.
-    pub(crate) fn heard(&self) -> Time {
-        Time::from_micros(self.heard.load(Ordering::Relaxed))
+    pub(crate) fn reported_at(&self) -> Time {
+        Time::from_micros(self.reported_at.load(Ordering::Relaxed))
     }
 }
--- a/crates/forwarding/src/balancer/view.rs
+++ b/crates/forwarding/src/balancer/view.rs
@@ -4,14 +4,16 @@
 use indexmap::IndexMap;
 use usher_types::{Slots, Span, Time, Version};
 
-use super::load_cell::LoadCell;
-use super::pace::Pace;
+use super::report_rate::ReportRate;
+use super::shared_load::SharedLoad;
 use crate::{Configuration, HostState, NodeId, Route, ServiceKey};
 
-// Services that a route had in earlier configurations may still hold its flows.
-const EARLIER: usize = 4;
+// Earlier services remembered per route; they may still hold flows of the route.
+const MAX_EARLIER_SERVICES: usize = 4;
 
-/// What the traffic thread of a balancer decides by; replaced as a whole.
+/// Immutable snapshot that a balancer's traffic thread decides by.
+///
+/// The control thread replaces it as a whole.
 #[derive(Debug, Default)]
 pub struct View {
     pub(crate) configuration: Arc<Configuration>,
@@ -23,23 +25,23 @@
 /// The hosts of one service.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ServiceView {
-    /// In the order of their addresses.
+    /// Sorted by address.
     pub(crate) hosts: Vec<HostView>,
-    /// When the latest of them was first heard.
-    pub(crate) changed: Time,
+    /// When the newest host was first heard.
+    pub(crate) last_joined: Time,
 }
 
 /// One host, as the traffic thread sees it.
 #[derive(Debug, Clone)]
 pub(crate) struct HostView {
     pub(crate) node: NodeId,
-    /// In the balancer's own data centre.
-    pub(crate) near: bool,
+    /// Whether it is in the balancer's data centre.
+    pub(crate) same_centre: bool,
     pub(crate) state: HostState,
     pub(crate) slots: Slots,
     pub(crate) warm_at: Time,
-    pub(crate) pace: Pace,
-    pub(crate) cell: Arc<LoadCell>,
+    pub(crate) report_rate: ReportRate,
+    pub(crate) shared_load: Arc<SharedLoad>,
 }
 
 impl View {
@@ -51,7 +53,7 @@
     ) -> Self {
         let mut earlier = previous.earlier.clone();
         if configuration.version != previous.configuration.version {
-            remember(&mut earlier, &previous.configuration);
+            record_earlier(&mut earlier, &previous.configuration);
             earlier.retain(|address, _| configuration.routes.contains_key(address));
         }
         Self {
@@ -77,7 +79,7 @@
             .map_or(&[], |view| view.hosts.as_slice())
     }
 
-    /// Services that may hold flows of a route, the current ones first.
+    /// Services that may hold flows of a route: current ones, earlier ones, then all others.
     pub(crate) fn holders(&self, address: &SocketAddrV4) -> impl Iterator<Item = ServiceKey> {
         let route = self.route(address);
         let current = route.into_iter().flat_map(|route| &route.services);
@@ -86,28 +88,30 @@
         listed.chain(self.services.keys().copied())
     }
 
-    /// Whether all hosts that could hold a flow of the route are present: all are heard, none has
-    /// joined lately, and the balancer has run for long enough to know them.
+    /// Whether all hosts that could hold a flow are known.
+    ///
+    /// All hosts must be heard, and neither may a host have joined nor the balancer have started
+    /// within the last `settle`.
     pub(crate) fn is_settled(&self, now: Time, settle: Span) -> bool {
         let mut hosts = self.services.values().flat_map(|view| &view.hosts);
-        let joined = self.services.values().map(|view| view.changed).max();
+        let joined = self.services.values().map(|view| view.last_joined).max();
         now - self.started >= settle
             && joined.is_some_and(|joined| now - joined >= settle)
             && hosts.all(|host| {
                 host.state == HostState::Ended
                     || (host.state != HostState::Unheard
-                        && now - host.cell.heard() < host.pace.fresh())
+                        && now - host.shared_load.reported_at() < host.report_rate.fresh_for())
             })
     }
 }
 
-fn remember(earlier: &mut IndexMap<SocketAddrV4, Vec<ServiceKey>>, before: &Configuration) {
+fn record_earlier(earlier: &mut IndexMap<SocketAddrV4, Vec<ServiceKey>>, before: &Configuration) {
     for (address, route) in &before.routes {
         let known = earlier.entry(*address).or_default();
         for (service, _) in &route.services {
             known.retain(|other| other != service);
             known.insert(0, *service);
         }
-        known.truncate(EARLIER);
+        known.truncate(MAX_EARLIER_SERVICES);
     }
 }
--- a/crates/forwarding/src/candidates.rs
+++ b/crates/forwarding/src/candidates.rs
@@ -1,6 +1,6 @@
 use crate::NodeId;
 
-/// Agents that a packet may visit, in order; held without allocation.
+/// Agents that a packet may visit, in order; stored without allocation.
 ///
 /// ```
 /// use usher_forwarding::{Candidates, NodeId};
@@ -16,10 +16,10 @@
 }
 
 impl Candidates {
-    /// Largest number of agents that a packet visits: 64 bytes in each packet between nodes.
+    /// Most agents that a packet visits: 64 bytes in each packet between nodes.
     pub const MAX: usize = 16;
 
-    /// The agents, first choice first.
+    /// The agents in the order of visits.
     pub fn as_slice(&self) -> &[NodeId] {
         &self.nodes[..usize::from(self.length)]
     }
--- a/crates/forwarding/src/departures.rs
+++ b/crates/forwarding/src/departures.rs
@@ -3,31 +3,31 @@
 
 use crate::NodeId;
 
-// Longer than any restart of a machine; an entry that stays costs one greeting a second.
-const REMOVE: Span = Span::from_secs(60);
+// Longer than any restart of a machine; an entry that stays costs one hello a second.
+const REMOVE_AFTER: Span = Span::from_secs(60);
 
-/// Balancers that the store lists and nobody hears, so that their entries can be removed.
+/// Balancers that the store lists but nobody hears, to remove their entries.
 #[derive(Debug, Clone, Default)]
 pub struct Departures {
     silent: IndexMap<NodeId, Time>,
 }
 
 impl Departures {
-    /// Takes the list of the store and the balancers that are heard; returns the entries that `own`
-    /// has to remove. Balancers that others watch are not to be in the list.
+    /// Returns the store entries that the balancer `own` has to remove.
     ///
-    /// Nobody removes anything while it hears nobody, and of those that hear each other the first
-    /// one removes.
+    /// `listed` are the entries of the store without the balancers that others watch, and `present`
+    /// the balancers that are heard. A balancer that hears no other one removes nothing. Of those
+    /// that hear each other, the one with the lowest address removes the entries.
     ///
     /// ```
     /// use usher_forwarding::{Departures, NodeId};
     /// use usher_types::{Span, Time};
-    /// let (own, other, dead) = ("10.1.0.1".parse()?, "10.1.0.2".parse()?, "10.1.0.3".parse()?);
+    /// let (own, other, stopped) = ("10.1.0.1".parse()?, "10.1.0.2".parse()?, "10.1.0.3".parse()?);
     /// let mut departures = Departures::default();
-    /// let listed = [own, other, dead];
+    /// let listed = [own, other, stopped];
     /// assert!(departures.observe(Time::ZERO, own, &listed, &[other]).is_empty());
     /// let later = Time::ZERO + Span::from_secs(60);
-    /// assert_eq!(departures.observe(later, own, &listed, &[other]), [dead]);
+    /// assert_eq!(departures.observe(later, own, &listed, &[other]), [stopped]);
     /// # Ok::<(), std::net::AddrParseError>(())
     /// ```
     pub fn observe(
@@ -44,7 +44,7 @@
             self.silent.entry(*node).or_insert(now);
         }
         let first = !present.is_empty() && present.iter().all(|node| own < *node);
-        let due = |since: &Time| first && now - *since >= REMOVE;
+        let due = |since: &Time| first && now - *since >= REMOVE_AFTER;
         let silent = self.silent.iter();
         silent
             .filter(|(_, since)| due(since))
--- a/crates/forwarding/src/exchange.rs
+++ b/crates/forwarding/src/exchange.rs
@@ -3,30 +3,30 @@
 
 use crate::{Directory, Fleet, NodeId, Report, Strength};
 
-// Digests go to other data centres at this pace, unless a host changes.
-const OUTWARD: Span = Span::from_millis(500);
-// The agents to greet are chosen at this pace.
-const CHOICE: Span = Span::from_millis(900);
-// An agent that has not reported for this long reports elsewhere.
-const DIRECT: Span = Span::from_secs(1);
+// Interval of the digests to other data centres; a change of a host's state is sent at once.
+const REMOTE_DIGEST_INTERVAL: Span = Span::from_millis(500);
+// Interval at which the agents that get hellos are chosen again.
+const AGENT_CHOICE_INTERVAL: Span = Span::from_millis(900);
+// An agent that has not reported for this long reports to other balancers.
+const DIRECT_REPORT_TIMEOUT: Span = Span::from_secs(1);
 
-/// Whom a balancer greets and to whom it relays reports, so that control traffic stays bounded.
+/// Chooses the receivers of a balancer's hellos and relayed reports.
 ///
-/// Within a data centre everybody hears everybody. Data centres are linked by a few balancers,
-/// which hand on what they hear.
+/// Balancers of one data centre exchange hellos and reports directly. Data centres are linked by a
+/// few balancers, which relay reports, so that control traffic stays bounded.
 #[derive(Debug, Clone)]
 pub struct Exchange {
     own: NodeId,
     strength: Strength,
     centre: DataCentre,
-    /// When each agent last reported here directly.
-    direct: IndexMap<NodeId, Time>,
+    /// When each agent last reported to this balancer itself.
+    last_reports: IndexMap<NodeId, Time>,
     chosen: Vec<NodeId>,
     chosen_at: Option<Time>,
-    outward_at: Option<Time>,
+    remote_at: Option<Time>,
 }
 
-/// Reports and the balancers that get them.
+/// A digest of reports and the balancers that get it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Relayed {
     /// Receivers.
@@ -36,7 +36,7 @@
 }
 
 impl Exchange {
-    /// The exchange of a balancer.
+    /// Creates the exchange of the balancer `own`.
     ///
     /// ```
     /// use usher_forwarding::{Directory, Exchange, Fleet};
@@ -52,55 +52,61 @@
             own,
             strength,
             centre,
-            direct: IndexMap::new(),
+            last_reports: IndexMap::new(),
             chosen: Vec::new(),
             chosen_at: None,
-            outward_at: None,
+            remote_at: None,
         }
     }
 
-    /// Notes that an agent reports here.
+    /// Records a report that an agent sent to this balancer itself.
     pub fn hear_agent(&mut self, now: Time, agent: NodeId) {
-        if self.direct.insert(agent, now).is_none() {
+        if self.last_reports.insert(agent, now).is_none() {
             self.chosen_at = None;
         }
     }
 
-    /// Balancers that are greeted at `now`, and whether each is asked to greet this one.
+    /// Balancers to send a hello to, and whether each is asked for hellos.
     pub fn balancers(&self, now: Time, fleet: &mut Fleet) -> Vec<(NodeId, bool)> {
-        fleet.greeted(now, self.own, &self.centre)
+        fleet.hello_targets(now, self.own, &self.centre)
     }
 
-    /// Agents that are greeted at `now`: those that report here, and those that may come to.
+    /// Agents to send a hello to at `now`: those that report here, and those that may start to.
     pub fn agents(&mut self, now: Time, fleet: &Fleet, directory: &Directory) -> Vec<NodeId> {
-        if self.chosen_at.is_none_or(|chosen| now - chosen >= CHOICE) {
+        if self
+            .chosen_at
+            .is_none_or(|chosen| now - chosen >= AGENT_CHOICE_INTERVAL)
+        {
             self.chosen_at = Some(now);
-            self.direct.retain(|_, heard| now - *heard <= DIRECT);
+            self.last_reports
+                .retain(|_, heard| now - *heard <= DIRECT_REPORT_TIMEOUT);
             let own = (self.own, self.strength, &self.centre);
             let agents = directory.centres();
             let chosen = agents.filter(|(agent, centre)| {
-                self.direct.contains_key(agent) || fleet.greets(now, own, *agent, centre)
+                self.last_reports.contains_key(agent) || fleet.sends_hello(now, own, *agent, centre)
             });
             self.chosen = chosen.map(|(agent, _)| agent).collect();
         }
         self.chosen.clone()
     }
 
-    /// Reports that are relayed at `now`, within the data centre and to others.
+    /// Digests to send at `now`: within the data centre, then to other data centres.
     pub fn digests(&mut self, now: Time, fleet: &Fleet, directory: &mut Directory) -> [Relayed; 2] {
-        let inward = Relayed {
-            to: fleet.near(now, &self.centre),
-            reports: directory.inward_digest(),
+        let local = Relayed {
+            to: fleet.local_balancers(now, &self.centre),
+            reports: directory.local_digest(),
         };
-        let mut outward = Relayed::default();
-        let due = self.outward_at.is_none_or(|last| now - last >= OUTWARD);
+        let mut remote = Relayed::default();
+        let due = self
+            .remote_at
+            .is_none_or(|last| now - last >= REMOTE_DIGEST_INTERVAL);
         if due || directory.is_urgent() {
-            self.outward_at = Some(now);
-            outward.reports = directory.outward_digest();
+            self.remote_at = Some(now);
+            remote.reports = directory.remote_digest();
         }
-        if !outward.reports.is_empty() {
-            outward.to = fleet.links(now, self.own, &self.centre);
+        if !remote.reports.is_empty() {
+            remote.to = fleet.links(now, self.own, &self.centre);
         }
-        [inward, outward]
+        [local, remote]
     }
 }
--- a/crates/forwarding/src/fleet.rs
+++ b/crates/forwarding/src/fleet.rs
@@ -2,38 +2,42 @@
 use usher_placement::rendezvous;
 use usher_types::{DataCentre, Span, Time, Version};
 
-use crate::member::{Member, SILENT};
+use crate::member::{Member, SILENCE_TIMEOUT};
 use crate::{Hello, NodeId, Strength};
 
 mod standby;
 
-// A node that was never heard, or not for this long, is forgotten.
-const FORGET: Span = Span::from_secs(60);
-// Nodes that are silent are greeted at this pace, to find them when a partition heals.
-const RETRY: Span = Span::from_secs(1);
+// A balancer that has not been heard for this long is removed.
+const REMOVE_AFTER: Span = Span::from_secs(60);
+// Interval of hellos to silent balancers, which find them again when a partition heals.
+const RETRY_INTERVAL: Span = Span::from_secs(1);
 
-// Up to this many other balancers, each hears every agent and every balancer directly.
-const SMALL: usize = 8;
-// Two, so that the death of one leaves no gap.
-const RELAYS: usize = 2;
-// One more than the relays, so that an agent knows its next relay before it loses one.
-const GREETERS: usize = 3;
-// Balancers of each other data centre to which a balancer is linked; two, as for relays.
-const LINKS: usize = 2;
-// Balancers that an agent tries in one round while it hears fewer than its relays.
-const PROBES: usize = 3;
-// Factor by which a relay of the own data centre is preferred.
-const NEAR: u32 = 1_000;
+// Up to this many balancers, all balancers and agents exchange messages directly.
+const SMALL_FLEET: usize = 8;
+// Relays per agent; two, so that the loss of one leaves no gap in the reports.
+const RELAY_COUNT: usize = 2;
+// Balancers that send hellos to an agent; one more than the relays, so that the agent knows its
+// next relay before it loses one.
+const HELLO_SENDERS: usize = 3;
+// Balancers of each other data centre that a balancer is linked to; two, as for relays.
+const LINKS_PER_CENTRE: usize = 2;
+// Silent balancers that an agent tries per round while too few relays are heard.
+const PROBES_PER_ROUND: usize = 3;
+// Factor on the weight of a balancer of the agent's data centre.
+const LOCAL_PREFERENCE: u32 = 1_000;
 
 /// The balancers that a process knows.
+///
+/// A balancer counts as heard, or present, while its hellos arrive.
 #[derive(Debug, Clone, Default)]
 pub struct Fleet {
     members: IndexMap<NodeId, Member>,
 }
 
 impl Fleet {
-    /// Learns of a balancer that was named by the store, the settings or another process;
-    /// `true` if it is new.
+    /// Adds a balancer named by the store, the settings or another process.
+    ///
+    /// Returns `true` if it is new.
     ///
     /// ```
     /// use usher_forwarding::Fleet;
@@ -51,87 +55,103 @@
         new
     }
 
-    /// Takes a balancer's greeting; `true` if its process has not been heard before.
+    /// Applies a hello of a balancer.
+    ///
+    /// Returns `true` if its process has not been heard before.
     pub fn hear(&mut self, now: Time, node: NodeId, hello: &Hello) -> bool {
         self.learn(now, node);
         let Some(member) = self.members.get_mut(&node) else {
             return false;
         };
         let new = hello.epoch != member.epoch;
-        if new && hello.epoch == member.former {
+        if new && hello.epoch == member.previous_epoch {
             return false;
         }
         if new {
-            member.former = member.epoch;
+            member.previous_epoch = member.epoch;
             member.epoch = hello.epoch;
         }
-        member.heard = Some(now);
+        member.last_heard = Some(now);
         member.version = hello.version;
         member.leaving = hello.leaving;
         member.centre = Some(hello.centre.clone());
         member.strength = hello.strength;
         if hello.ask {
-            member.asked = Some(now);
+            member.last_asked = Some(now);
         }
         new
     }
 
-    /// Whether the fleet is too large for everybody to hear everybody. Balancers then hear those of
-    /// their data centre and a few of each other one, and agents report to a few.
+    /// Whether the fleet is too large for all nodes to exchange messages directly.
+    ///
+    /// Balancers then exchange hellos within their data centre and with a few balancers of each
+    /// other one, and agents report to a few balancers.
     pub fn is_large(&self) -> bool {
-        // A balancer is not among its members.
-        self.members.len() >= SMALL
+        // A balancer is not in its own `members`.
+        self.members.len() >= SMALL_FLEET
     }
 
-    /// Data centre of a balancer, once it was heard.
+    /// Data centre of a balancer; `None` until it is heard.
     pub fn centre(&self, node: NodeId) -> Option<&DataCentre> {
         self.members.get(&node)?.centre.as_ref()
     }
 
-    /// Balancers that a balancer greets at `now`, and whether it asks each to greet it as well.
+    /// Balancers to send a hello to, and whether each is asked for hellos.
     ///
-    /// In a large fleet these are those of its own data centre, a few of each other one, those
-    /// that ask for it, and now and then those whose data centre is not known.
-    pub fn greeted(&mut self, now: Time, own: NodeId, centre: &DataCentre) -> Vec<(NodeId, bool)> {
+    /// In a large fleet these are those of the own data centre, a few of each other one, those that
+    /// ask for hellos, and those whose data centre is not known. Silent ones get one per second.
+    pub fn hello_targets(
+        &mut self,
+        now: Time,
+        own: NodeId,
+        centre: &DataCentre,
+    ) -> Vec<(NodeId, bool)> {
         if !self.is_large() {
             return self.due(now).into_iter().map(|node| (node, true)).collect();
         }
         let links = self.links(now, own, centre);
-        let mut greeted = Vec::new();
+        let mut hello_targets = Vec::new();
         for (node, member) in &mut self.members {
             let wanted = match &member.centre {
                 Some(other) => other == centre || links.contains(node),
                 None => true,
             };
-            let waits = member.sent.is_some_and(|sent| now - sent < RETRY);
-            let asked = member.asked.is_some_and(|asked| now - asked <= SILENT);
+            let waits = member
+                .last_sent
+                .is_some_and(|sent| now - sent < RETRY_INTERVAL);
+            let asked = member
+                .last_asked
+                .is_some_and(|asked| now - asked <= SILENCE_TIMEOUT);
             let due = wanted && (member.is_present(now) || !waits);
             if due || asked {
-                member.sent = Some(now);
-                greeted.push((*node, wanted));
+                member.last_sent = Some(now);
+                hello_targets.push((*node, wanted));
             }
         }
-        greeted
+        hello_targets
     }
 
-    /// Balancers of the own data centre that are heard.
-    pub fn near(&self, now: Time, centre: &DataCentre) -> Vec<NodeId> {
+    /// Balancers of a data centre that are heard.
+    pub fn local_balancers(&self, now: Time, centre: &DataCentre) -> Vec<NodeId> {
         let near = self.members.iter();
         near.filter(|(_, member)| member.is_present(now) && member.is_in(centre))
             .map(|(node, _)| *node)
             .collect()
     }
 
-    /// Whether this process watches a balancer: it notices when the balancer is gone. In a large
-    /// fleet balancers are watched in their own data centre.
+    /// Whether this process notices when a balancer is gone.
+    ///
+    /// In a large fleet it watches those of its own data centre, and those whose data centre is not
+    /// known.
     pub fn watches(&self, node: NodeId, centre: &DataCentre) -> bool {
         !self.is_large() || self.centre(node).is_none_or(|other| other == centre)
     }
 
-    /// The balancers with which the watch is shared. One that is alone in its data centre shares it
-    /// with those that it hears elsewhere.
+    /// Balancers that watch the same balancers as this one.
+    ///
+    /// For a balancer that is alone in its data centre, these are all that it hears.
     pub fn watchers(&self, now: Time, centre: &DataCentre) -> Vec<NodeId> {
-        let near = self.near(now, centre);
+        let near = self.local_balancers(now, centre);
         if self.is_large() && !near.is_empty() {
             near
         } else {
@@ -139,8 +159,9 @@
         }
     }
 
-    /// The balancers of other data centres to which a balancer is linked, preferably such as are
-    /// heard; the strong ones more often.
+    /// The balancers of other data centres that a balancer is linked to.
+    ///
+    /// Prefers balancers that are heard, then strong ones, by weighted rendezvous hashing.
     pub fn links(&self, now: Time, own: NodeId, centre: &DataCentre) -> Vec<NodeId> {
         let mut scored: IndexMap<&DataCentre, Vec<(bool, f64, NodeId)>> = IndexMap::new();
         for (node, member) in &self.members {
@@ -153,14 +174,20 @@
         let mut links = Vec::new();
         for mut members in scored.into_values() {
             members.sort_by(|a, b| b.0.cmp(&a.0).then(b.1.total_cmp(&a.1)));
-            links.extend(members.iter().take(LINKS).map(|(_, _, node)| *node));
+            links.extend(
+                members
+                    .iter()
+                    .take(LINKS_PER_CENTRE)
+                    .map(|(_, _, node)| *node),
+            );
         }
         links
     }
 
-    /// Whether a balancer is among those that greet an agent which has not reported to it. In a
-    /// large fleet these are the agent's relays and the next one.
-    pub fn greets(
+    /// Whether a balancer sends hellos to an agent that does not report to it.
+    ///
+    /// In a large fleet, the agent's relays and the next candidate do.
+    pub fn sends_hello(
         &self,
         now: Time,
         own: (NodeId, Strength, &DataCentre),
@@ -180,19 +207,23 @@
         let better = present.filter(|(node, member)| {
             score(agent, **node, member.strength, member.is_in(centre)) > own_score
         });
-        better.take(GREETERS).count() < GREETERS
+        better.take(HELLO_SENDERS).count() < HELLO_SENDERS
     }
 
-    /// Balancers that are sent to at `now`: those that are heard, and now and then the others.
+    /// Balancers to send to: those that are heard, and silent ones once per second.
     pub fn due(&mut self, now: Time) -> Vec<NodeId> {
         let mut due = Vec::new();
         for (node, member) in &mut self.members {
-            let silent = member.heard.is_none_or(|heard| now - heard > SILENT);
-            let waits = member.sent.is_some_and(|sent| now - sent < RETRY);
+            let silent = member
+                .last_heard
+                .is_none_or(|heard| now - heard > SILENCE_TIMEOUT);
+            let waits = member
+                .last_sent
+                .is_some_and(|sent| now - sent < RETRY_INTERVAL);
             if silent && waits {
                 continue;
             }
-            member.sent = Some(now);
+            member.last_sent = Some(now);
             due.push(*node);
         }
         due
@@ -207,12 +238,13 @@
             .collect()
     }
 
-    /// Balancers that an agent reports to. All of a small fleet; a few of a large one, by weighted
-    /// rendezvous hashing, which relay the reports to the others. Nearly all weight is with the
-    /// agent's own data centre, and none with balancers that are about to stop. While too few are
-    /// heard, others are tried.
+    /// Balancers that an agent reports to.
+    ///
+    /// In a small fleet, all; in a large one, a few chosen by weighted rendezvous hashing, which
+    /// relay the reports to the others. Nearly all weight is with the agent's own data centre, and
+    /// none with balancers that are about to stop. While too few are heard, silent ones are tried.
     pub fn relays(&mut self, now: Time, agent: NodeId, centre: &DataCentre) -> Vec<NodeId> {
-        if self.members.len() <= SMALL {
+        if self.members.len() <= SMALL_FLEET {
             return self.due(now);
         }
         let mut scored: Vec<(f64, NodeId)> = Vec::new();
@@ -223,37 +255,40 @@
             }
         }
         scored.sort_by(|a, b| b.0.total_cmp(&a.0));
-        scored.truncate(RELAYS);
+        scored.truncate(RELAY_COUNT);
         let mut relays: Vec<NodeId> = scored.into_iter().map(|(_, node)| node).collect();
-        if relays.len() < RELAYS {
+        if relays.len() < RELAY_COUNT {
             relays.extend(self.probe(now));
         }
         relays
     }
 
-    // Silent balancers to try, those first that were tried the longest time ago.
+    // Silent balancers to try, least recently tried first.
     fn probe(&mut self, now: Time) -> Vec<NodeId> {
         let silent = self.members.iter_mut();
         let mut silent: Vec<_> = silent
             .filter(|(_, member)| {
-                !member.is_present(now) && member.sent.is_none_or(|sent| now - sent >= RETRY)
+                !member.is_present(now)
+                    && member
+                        .last_sent
+                        .is_none_or(|sent| now - sent >= RETRY_INTERVAL)
             })
             .collect();
-        silent.sort_by_key(|(_, member)| member.sent);
+        silent.sort_by_key(|(_, member)| member.last_sent);
         let mut tried = Vec::new();
-        for (node, member) in silent.into_iter().take(PROBES) {
-            member.sent = Some(now);
+        for (node, member) in silent.into_iter().take(PROBES_PER_ROUND) {
+            member.last_sent = Some(now);
             tried.push(*node);
         }
         tried
     }
 
-    /// Whether an agent's reports have to be relayed, since it sends them to few balancers.
+    /// Whether an agent reports to only a few balancers, which relay its reports.
     pub fn reports_to_few(&self) -> bool {
-        self.members.len() > SMALL
+        self.members.len() > SMALL_FLEET
     }
 
-    /// The balancer with the newest configuration that is heard, if newer than `version`.
+    /// The heard balancer with the newest configuration, if newer than `version`.
     pub fn ahead(&self, now: Time, version: Version) -> Option<(NodeId, Version)> {
         let present = self.present(now);
         let newest = self
@@ -264,16 +299,18 @@
         (newest.1.version > version).then_some((*newest.0, newest.1.version))
     }
 
-    /// Forgets balancers that have been silent for long, unless nobody is heard; returns those
-    /// that were heard before.
+    /// Removes balancers that have been silent for long, unless no balancer is heard.
+    ///
+    /// Returns the removed ones that were heard before.
     pub fn expire(&mut self, now: Time) -> Vec<NodeId> {
         if self.present(now).is_empty() {
             return Vec::new();
         }
-        let silent = |member: &Member| now - member.heard.unwrap_or(member.learned) > FORGET;
+        let silent =
+            |member: &Member| now - member.last_heard.unwrap_or(member.learned_at) > REMOVE_AFTER;
         let members = self.members.iter();
         let lost: Vec<NodeId> = members
-            .filter(|(_, member)| silent(member) && member.heard.is_some())
+            .filter(|(_, member)| silent(member) && member.last_heard.is_some())
             .map(|(node, _)| *node)
             .collect();
         self.members.retain(|_, member| !silent(member));
@@ -281,9 +318,10 @@
     }
 }
 
+// Weighted rendezvous score of a balancer for an agent; the highest is preferred.
 fn score(agent: NodeId, balancer: NodeId, strength: Strength, near: bool) -> f64 {
     let key = u64::from(u32::from(agent.address()));
-    let preference = if near { NEAR } else { 1 };
+    let preference = if near { LOCAL_PREFERENCE } else { 1 };
     let weight = strength.millicores().saturating_mul(preference);
     rendezvous(key, &balancer.address().octets(), weight)
 }
--- a/crates/forwarding/src/fleet/standby.rs
+++ b/crates/forwarding/src/fleet/standby.rs
@@ -3,15 +3,15 @@
 use super::Fleet;
 use crate::{NodeId, Strength};
 
-// A balancer stands by if another one of its data centre is this many times as strong: it would
-// be the first to drop packets at an even share.
-const WEAK: u32 = 4;
+// A balancer stands by if another one of its data centre is this many times as strong. With an even
+// share of the traffic it would be the first to drop packets.
+const STANDBY_RATIO: u32 = 4;
 
 impl Fleet {
-    /// Whether a weak balancer leaves the traffic to the stronger ones of its data centre.
+    /// Whether a balancer leaves the rotation to the stronger ones of its data centre.
     ///
-    /// The platform spreads flows evenly over the balancers in rotation and uses all of a data
-    /// centre when fewer than half are, so half of them stay.
+    /// The platform spreads flows evenly over the balancers in rotation. If fewer than half of the
+    /// balancers of a data centre are in rotation, it uses all of them, so half of them stay.
     pub fn stands_by(
         &self,
         now: Time,
@@ -37,7 +37,7 @@
             stronger += u32::from(before);
         }
         let needed = u32::div_ceil(known, 2);
-        let weak = strength.millicores() * WEAK < strongest.millicores();
+        let weak = strength.millicores() * STANDBY_RATIO < strongest.millicores();
         weak && stronger >= needed
     }
 }
--- a/crates/forwarding/src/flow_key.rs
+++ b/crates/forwarding/src/flow_key.rs
@@ -3,7 +3,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A flow, named by its two ends. Written as `caller>address`.
+/// A flow, identified by its two endpoints. Displayed as `caller>address`.
 ///
 /// ```
 /// use usher_forwarding::FlowKey;
@@ -23,7 +23,7 @@
 }
 
 impl FlowKey {
-    /// A hash of both ends that every process computes alike.
+    /// A hash of both endpoints that is the same in every process.
     pub(crate) fn hash(&self, seed: u64) -> u64 {
         let mut bytes = [0; 12];
         bytes[..4].copy_from_slice(&self.caller.ip().octets());
--- a/crates/forwarding/src/head.rs
+++ b/crates/forwarding/src/head.rs
@@ -2,27 +2,28 @@
 
 use crate::FlowKey;
 
-/// What decisions read of a packet's head.
+/// The fields of a packet's header that decisions use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Head {
-    /// End that sent the packet.
+    /// Endpoint that sent the packet.
     pub source: SocketAddrV4,
-    /// End that the packet is for.
+    /// Endpoint that the packet is addressed to.
     pub target: SocketAddrV4,
-    /// Control bits.
+    /// Control flags.
     pub flags: Flags,
-    /// Position of the packet's data in its direction; drawn at random in an opening packet.
+    /// Sequence number of the data; chosen at random in an opening packet.
     pub sequence: u32,
-    /// Position up to which the sender has received. In an opening packet of a caller, the number
-    /// of copies sent before.
+    /// Position up to which the sender has received.
+    ///
+    /// In an opening packet of a caller, the number of copies sent before.
     pub acknowledged: u32,
     /// Length of the data in bytes.
     pub data: u16,
-    /// Value that the agent gave the packet on its way to the backend server.
+    /// Token of the delivery, which the backend server echoes in a returned packet.
     pub token: u32,
 }
 
-/// Control bits of a packet.
+/// Control flags of a packet.
 #[expect(clippy::struct_excessive_bools, reason = "each is a bit of the head")]
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Flags {
@@ -30,11 +31,11 @@
     pub opening: bool,
     /// Carries an acknowledgement.
     pub acknowledging: bool,
-    /// Ends the sender's direction.
+    /// Ends the data in the sender's direction.
     pub finishing: bool,
-    /// Ends the flow at once.
+    /// Aborts the flow.
     pub resetting: bool,
-    /// The backend server does not hold the flow, or cannot take it, and gives the packet back.
+    /// The backend server returns the packet: it does not hold the flow, or cannot take it.
     pub returned: bool,
 }
 
--- a/crates/forwarding/src/hint.rs
+++ b/crates/forwarding/src/hint.rs
@@ -1,13 +1,13 @@
 use crate::{FlowKey, NodeId};
 
-/// What an agent tells a balancer about a flow whose packet it got.
+/// Hint from an agent to a balancer about the host of a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Hint {
     /// A host other than the first candidate holds the flow.
     Held {
         /// The flow.
         flow: FlowKey,
-        /// Its host.
+        /// Address of the host.
         node: NodeId,
     },
     /// None of the candidates holds the flow.
--- a/crates/forwarding/src/host_state.rs
+++ b/crates/forwarding/src/host_state.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What an agent knows of its backend server.
+/// State of a backend server as its agent knows it.
 ///
 /// ```
 /// use usher_forwarding::HostState;
@@ -18,11 +18,11 @@
     Serving,
     /// Keeps its flows and takes no new ones.
     Draining,
-    /// Known to be gone.
+    /// Has left.
     Ended,
 }
 
-/// A text that names no state.
+/// The text is not the name of a state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnknownState;
 
--- a/crates/forwarding/src/host_word.rs
+++ b/crates/forwarding/src/host_word.rs
@@ -1,20 +1,20 @@
 use usher_types::{Sequence, Slots, Span};
 
-/// What a backend server says of itself in one heartbeat.
+/// Content of one heartbeat of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostWord {
     /// Name of the backend server's process.
     pub id: String,
-    /// Its service.
+    /// Name of its service.
     pub service: String,
     /// Start of the process in Unix milliseconds; a later process has a higher one.
     pub born: u64,
-    /// Order of the words of one process.
+    /// Order of the heartbeats of one process.
     pub sequence: Sequence,
-    /// Requests that it runs at the same time.
+    /// Requests that it processes at the same time.
     pub slots: Slots,
-    /// Whether it is about to leave.
+    /// Whether it takes no new flows and is about to leave.
     pub draining: bool,
-    /// How long it remains slow after its start.
+    /// How long it will remain slow, until it has warmed up.
     pub warmup: Span,
 }
--- a/crates/forwarding/src/in_force.rs
+++ b/crates/forwarding/src/in_force.rs
@@ -4,7 +4,7 @@
 
 use crate::Configuration;
 
-/// The configuration in force; it never goes back to an older version.
+/// The active configuration; it is never replaced by an older version.
 ///
 /// ```
 /// use usher_forwarding::{Configuration, InForce};
@@ -20,7 +20,7 @@
 }
 
 impl InForce {
-    /// Takes a configuration, if it is newer.
+    /// Activates a configuration if it is newer; returns whether it was.
     pub fn adopt(&mut self, offered: Configuration) -> bool {
         let newer = offered.version > self.current.version;
         if newer {
@@ -29,12 +29,12 @@
         newer
     }
 
-    /// The configuration; version 0 before the first one.
+    /// The active configuration; version 0 until one is adopted.
     pub fn current(&self) -> Arc<Configuration> {
         Arc::clone(&self.current)
     }
 
-    /// Version of the configuration.
+    /// Version of the active configuration.
     pub fn version(&self) -> Version {
         self.current.version
     }
--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -1,7 +1,8 @@
-//! Decisions about the packets of flows that backend servers hold themselves.
+//! Forwarding decisions for packets of flows whose state is held by backend servers.
 //!
-//! A balancer places a flow and finds it again; an agent takes packets for its backend server and
-//! passes the others on. Nothing here performs I/O, reads a clock or encodes a message.
+//! A balancer places new flows on hosts and finds the hosts of established ones. An agent delivers
+//! packets to its backend server, queues them or forwards them to other agents. Nothing here
+//! performs I/O, reads a clock or encodes a message.
 
 mod agent;
 mod balancer;
@@ -24,7 +25,7 @@
 mod strength;
 mod trip;
 
-pub use agent::{AgentPath, Heard, Inbound, Outbound, Passed, Release, Step};
+pub use agent::{AgentPath, ForwardReason, Heard, Inbound, Outbound, Release, Step};
 pub use balancer::{BalancerPath, Directory, Found, Refused, Verdict, View};
 pub use candidates::Candidates;
 pub use departures::Departures;
@@ -41,5 +42,5 @@
 pub use report::{Hello, Report};
 pub use route::{Configuration, Route};
 pub use service_key::ServiceKey;
-pub use strength::{NoStrength, Strength};
+pub use strength::{InvalidStrength, Strength};
 pub use trip::{Best, Trip};
--- a/crates/forwarding/src/load.rs
+++ b/crates/forwarding/src/load.rs
@@ -1,20 +1,20 @@
 use serde::{Deserialize, Serialize};
 use usher_types::{Slots, Span};
 
-// Work of a request at a backend server that has answered none yet.
+// Processing time assumed for a backend server that has answered no request yet.
 const ASSUMED_WORK: Span = Span::from_millis(20);
 
-/// Requests at a backend server, as its agent sees them.
+/// Load of a backend server as its agent sees it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests that it works on or holds back.
+    /// Requests in progress or queued.
     pub working: u16,
-    /// Mean time of work; zero when no request was seen yet.
+    /// Mean processing time; zero until a request was answered.
     pub mean: Span,
 }
 
 impl Load {
-    /// Mean time of work, or an assumed one.
+    /// Mean processing time, or an assumed one.
     pub(crate) fn work(&self) -> Span {
         if self.mean == Span::ZERO {
             ASSUMED_WORK
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Time until a slot is free for one more request.
+    /// Expected time until a slot is free for one more request.
     pub(crate) fn wait(&self, slots: Slots) -> Span {
         let slots = u64::from(slots.get().max(1));
         let ahead = u64::from(self.working).saturating_sub(slots - 1);
--- a/crates/forwarding/src/member.rs
+++ b/crates/forwarding/src/member.rs
@@ -2,45 +2,48 @@
 
 use crate::Strength;
 
-/// A balancer greets every 300 ms; after three missing greetings it is treated as silent.
-pub(crate) const SILENT: Span = Span::from_secs(1);
+/// Time without a hello after which a balancer counts as silent.
+///
+/// Hellos come every 300 ms, so three are missed.
+pub(crate) const SILENCE_TIMEOUT: Span = Span::from_secs(1);
 
-/// What a process knows of one balancer.
+/// What a process knows about one balancer.
 #[derive(Debug, Clone)]
 pub(crate) struct Member {
-    pub(crate) learned: Time,
-    pub(crate) heard: Option<Time>,
-    pub(crate) sent: Option<Time>,
+    pub(crate) learned_at: Time,
+    pub(crate) last_heard: Option<Time>,
+    pub(crate) last_sent: Option<Time>,
     pub(crate) epoch: u64,
-    pub(crate) former: u64,
+    pub(crate) previous_epoch: u64,
     pub(crate) version: Version,
     pub(crate) leaving: bool,
     pub(crate) centre: Option<DataCentre>,
     pub(crate) strength: Strength,
-    /// When it last asked for greetings.
-    pub(crate) asked: Option<Time>,
+    /// When it last asked this process for hellos.
+    pub(crate) last_asked: Option<Time>,
 }
 
 impl Member {
-    /// A balancer that was named and not yet heard.
+    /// A balancer that has not been heard yet.
     pub(crate) fn named(now: Time) -> Self {
         Self {
-            learned: now,
-            heard: None,
-            sent: None,
+            learned_at: now,
+            last_heard: None,
+            last_sent: None,
             epoch: 0,
-            former: 0,
+            previous_epoch: 0,
             version: Version::default(),
             leaving: false,
             centre: None,
             strength: Strength::default(),
-            asked: None,
+            last_asked: None,
         }
     }
 
-    /// Whether it is heard.
+    /// Whether the balancer is heard: its last hello is recent.
     pub(crate) fn is_present(&self, now: Time) -> bool {
-        self.heard.is_some_and(|heard| now - heard <= SILENT)
+        self.last_heard
+            .is_some_and(|last_heard| now - last_heard <= SILENCE_TIMEOUT)
     }
 
     pub(crate) fn is_in(&self, centre: &DataCentre) -> bool {
--- a/crates/forwarding/src/node_id.rs
+++ b/crates/forwarding/src/node_id.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A process of the system, named by the address of its machine.
+/// A balancer or agent, identified by the address of its machine.
 ///
 /// ```
 /// use usher_forwarding::NodeId;
@@ -17,7 +17,7 @@
 pub struct NodeId(Ipv4Addr);
 
 impl NodeId {
-    /// No node; fills unused places.
+    /// No node; a placeholder.
     pub const NONE: Self = Self(Ipv4Addr::UNSPECIFIED);
 
     /// The process at an address.
--- a/crates/forwarding/src/report.rs
+++ b/crates/forwarding/src/report.rs
@@ -3,10 +3,10 @@
 
 use crate::{HostState, Load, NodeId, ServiceKey, Strength};
 
-/// What an agent tells balancers, several times a second.
+/// Report of an agent to balancers, sent several times a second.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Start of the agent's process; no two processes have the same.
+    /// Start of the agent's process; unique to the process.
     pub epoch: u64,
     /// Order of the reports of one process.
     pub sequence: Sequence,
@@ -18,33 +18,33 @@
     pub state: HostState,
     /// Start of the backend server's process in Unix milliseconds.
     pub born: u64,
-    /// Requests that the backend server runs at the same time.
+    /// Requests that the backend server processes at the same time.
     pub slots: Slots,
-    /// How long the backend server remains slow after its start.
+    /// How long the backend server will remain slow, until it has warmed up.
     pub warmup: Span,
-    /// Requests at the backend server.
+    /// Requests at the backend server and their mean processing time.
     pub load: Load,
-    /// The agent reports to few balancers, which relay the report.
+    /// The agent reports to only a few balancers, which relay the report.
     pub few: bool,
 }
 
-/// What a balancer tells other balancers and the agents.
+/// Hello of a balancer to other balancers and to agents.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Start of the balancer's process; no two processes have the same.
+    /// Start of the balancer's process; unique to the process.
     pub epoch: u64,
-    /// Version of the configuration in force there.
+    /// Version of the balancer's active configuration.
     pub version: Version,
     /// The balancer is about to stop.
     pub leaving: bool,
     /// Data centre of the balancer.
     pub centre: DataCentre,
-    /// What the balancer's processor can do.
+    /// Processor capacity of the balancer.
     pub strength: Strength,
-    /// Balancers that it hears.
+    /// Balancers that the sender hears.
     pub balancers: Vec<NodeId>,
-    /// Agents that it hears; left out in what is sent to agents, and in a large fleet.
+    /// Agents that the sender hears; empty to agents and in a large fleet.
     pub agents: Vec<NodeId>,
-    /// The balancer wants to be greeted by the receiver.
+    /// The sender asks the receiver for hellos in return.
     pub ask: bool,
 }
--- a/crates/forwarding/src/route.rs
+++ b/crates/forwarding/src/route.rs
@@ -5,36 +5,36 @@
 
 use crate::ServiceKey;
 
-/// The operator's configuration, as far as forwarding needs it.
+/// The part of the operator's configuration that forwarding uses.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Configuration {
-    /// The store's version of the document; the only order between configurations.
+    /// Version of the document in the store, which alone orders configurations.
     pub version: Version,
-    /// Number that the operator gave it; for people only.
+    /// Version number that the operator set; for display only.
     pub label: u64,
-    /// Routes by the address that callers use.
+    /// Routes by the address that callers connect to.
     pub routes: IndexMap<SocketAddrV4, Route>,
-    /// Entries of the document that name nothing to use.
+    /// Number of entries of the document that cannot be used.
     pub ignored: usize,
 }
 
-/// Where new flows to one address go.
+/// How flows to one address are served.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// Name that the operator gave it.
+    /// Name set by the operator.
     pub name: String,
     /// Services and their shares of new flows; never empty.
     pub services: Vec<(ServiceKey, u32)>,
     /// Longest time that a request may take.
     pub timeout: Span,
-    /// Time within which an answer is of full use to its caller.
+    /// Time within which an answer has its full value for the caller.
     pub target: Span,
-    /// Rank under load; 0 is served first.
+    /// Priority under load; 0 is served first.
     pub rank: u8,
 }
 
 impl Route {
-    /// The service for a new flow, by shares; the same in every process.
+    /// Chooses the service of a new flow by shares; all processes choose alike.
     pub(crate) fn service(&self, hash: u64) -> Option<ServiceKey> {
         let total: u64 = self
             .services
--- a/crates/forwarding/src/service_key.rs
+++ b/crates/forwarding/src/service_key.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Short form of a service's name: a hash that every process computes alike.
+/// Hash of a service's name, the same in every process.
 ///
 /// ```
 /// use usher_forwarding::ServiceKey;
@@ -14,10 +14,10 @@
 pub struct ServiceKey(u64);
 
 impl ServiceKey {
-    /// No service; an agent asks for the service of opening packets only.
+    /// No service; agents check the service of opening packets only.
     pub(crate) const NONE: Self = Self(0);
 
-    /// The key of a service's name.
+    /// The key of the service `name`.
     pub fn of(name: &str) -> Self {
         Self(xxh3_64(name.as_bytes()))
     }
--- a/crates/forwarding/src/strength.rs
+++ b/crates/forwarding/src/strength.rs
@@ -3,9 +3,9 @@
 
 use serde::{Deserialize, Serialize};
 
-const PER_CORE: f64 = 1_000.0;
+const MILLICORES_PER_CORE: f64 = 1_000.0;
 
-/// What a node's processor can do, in thousandths of a core. Written as cores.
+/// Processor capacity of a node in thousandths of a core. Displayed in cores.
 ///
 /// ```
 /// use usher_forwarding::Strength;
@@ -18,12 +18,12 @@
 #[serde(transparent)]
 pub struct Strength(u32);
 
-/// A text that is not a positive number of cores.
+/// The text is not a positive number of cores.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NoStrength;
+pub struct InvalidStrength;
 
 impl Strength {
-    /// Thousandths of a core.
+    /// The capacity in thousandths of a core.
     pub const fn millicores(self) -> u32 {
         self.0
     }
@@ -31,19 +31,19 @@
 
 impl fmt::Display for Strength {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}", f64::from(self.0) / PER_CORE)
+        write!(f, "{}", f64::from(self.0) / MILLICORES_PER_CORE)
     }
 }
 
 impl FromStr for Strength {
-    type Err = NoStrength;
+    type Err = InvalidStrength;
 
-    fn from_str(text: &str) -> Result<Self, NoStrength> {
-        let cores: f64 = text.parse().ok().ok_or(NoStrength)?;
+    fn from_str(text: &str) -> Result<Self, InvalidStrength> {
+        let cores: f64 = text.parse().ok().ok_or(InvalidStrength)?;
         if cores.is_finite() && cores > 0.0 {
-            Ok(Self((cores * PER_CORE).round().max(1.0) as u32))
+            Ok(Self((cores * MILLICORES_PER_CORE).round().max(1.0) as u32))
         } else {
-            Err(NoStrength)
+            Err(InvalidStrength)
         }
     }
 }
--- a/crates/forwarding/src/trip.rs
+++ b/crates/forwarding/src/trip.rs
@@ -2,7 +2,9 @@
 
 use crate::{Candidates, NodeId, ServiceKey};
 
-/// A packet's way between the nodes: where it may go, and where it has been.
+/// Forwarding state that travels with a packet between nodes.
+///
+/// Lists the agents that the packet may visit and how many of them it has passed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Trip {
     /// Service that the balancer chose.
@@ -11,19 +13,19 @@
     pub origin: NodeId,
     /// Agents that the packet may visit.
     pub candidates: Candidates,
-    /// Index of the agent that has it now.
+    /// Index in `candidates` of the agent that has the packet now.
     pub hop: u8,
-    /// Busy agent with the shortest wait so far; opening packets only.
+    /// Busy agent with the shortest expected wait so far; opening packets only.
     pub best: Option<Best>,
-    /// Longest wait that is of use to the caller; opening packets only.
+    /// Time within which the caller can use the answer; opening packets only.
     pub budget: Span,
-    /// Rank of the route; 0 is served first.
+    /// Priority of the route; 0 is served first.
     pub rank: u8,
-    /// No other agent is left: take the packet, or refuse it.
+    /// The packet must not be forwarded again: accept, queue or refuse it.
     pub last: bool,
 }
 
-/// An agent that was busy, and how long a new request would wait there.
+/// A busy agent and its expected wait for a new request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Best {
     /// The agent.
@@ -33,7 +35,7 @@
 }
 
 impl Trip {
-    /// The trip's next agent, if one is left.
+    /// The next candidate and the trip advanced to it, if one is left.
     pub(crate) fn next(&self) -> Option<(NodeId, Self)> {
         let hop = self.hop.checked_add(1)?;
         let node = *self.candidates.as_slice().get(usize::from(hop))?;
--- a/crates/forwarding/tests/agent/flows.rs
+++ b/crates/forwarding/tests/agent/flows.rs
@@ -1,5 +1,7 @@
 use assert_matches::assert_matches;
-use usher_forwarding::{Heard, HostState, HostWord, Outbound, Passed, ServiceKey, Step, Trip};
+use usher_forwarding::{
+    ForwardReason, Heard, HostState, HostWord, Outbound, ServiceKey, Step, Trip,
+};
 
 use crate::fixture::{
     agent, answer, at, later, node, open, opening, returned, serving, trip, word,
@@ -11,7 +13,7 @@
     let inbound = agent().on_packet(at(1), &opening(1), &trip(&[3, 4], 0));
     assert_matches!(
         inbound.step,
-        Step::Forward { to, reason: Passed::NotServing, .. } if to == node(4)
+        Step::Forward { to, reason: ForwardReason::NotServing, .. } if to == node(4)
     );
 }
 
@@ -120,7 +122,7 @@
     assert_matches!(
         inbound.step,
         Step::Forward {
-            reason: Passed::OtherService,
+            reason: ForwardReason::OtherService,
             ..
         }
     );
@@ -137,7 +139,7 @@
     let inward = assert_matches!(outbound, Outbound::Inward(inbound) => inbound);
     assert_matches!(
         inward.step,
-        Step::Forward { to, reason: Passed::Returned, .. } if to == node(4)
+        Step::Forward { to, reason: ForwardReason::Returned, .. } if to == node(4)
     );
     let again = agent.on_host_packet(at(3), &returned(&caller, token));
     let inward = assert_matches!(again, Outbound::Inward(inbound) => inbound);
@@ -173,7 +175,7 @@
     assert_matches!(
         inbound.step,
         Step::Forward {
-            reason: Passed::NotHeld,
+            reason: ForwardReason::NotHeld,
             ..
         }
     );
@@ -190,7 +192,7 @@
     assert_matches!(
         inbound.step,
         Step::Forward {
-            reason: Passed::Silent,
+            reason: ForwardReason::Silent,
             ..
         }
     );
--- a/crates/forwarding/tests/agent/queue.rs
+++ b/crates/forwarding/tests/agent/queue.rs
@@ -1,5 +1,5 @@
 use assert_matches::assert_matches;
-use usher_forwarding::{Best, HostWord, Passed, Step, Trip};
+use usher_forwarding::{Best, ForwardReason, HostWord, Step, Trip};
 use usher_types::Span;
 
 use crate::fixture::{answer, at, later, node, open, opening, serving, trip, word};
@@ -14,7 +14,7 @@
     let busy = agent.on_packet(at(4), &opening(3), &trip(&[3, 4], 0));
     let passed = assert_matches!(
         busy.step,
-        Step::Forward { to, trip, reason: Passed::Busy } if to == node(4) => trip
+        Step::Forward { to, trip, reason: ForwardReason::Busy } if to == node(4) => trip
     );
     assert_eq!(passed.best.unwrap().node, node(3));
     // The other host is busier, so the flow comes back and is taken.
