--- a/crates/forwarding/tests/agent/fixture.rs
+++ b/crates/forwarding/tests/agent/fixture.rs
@@ -15,7 +15,7 @@
     Time::ZERO + Span::from_millis(millis)
 }
 
-pub fn word(id: &str, born: u64, sequence: u32) -> HostWord {
+pub fn heartbeat(id: &str, born: u64, sequence: u32) -> HostWord {
     HostWord {
         id: id.to_owned(),
         service: SERVICE.to_owned(),
@@ -31,10 +31,10 @@
     AgentPath::new(node(3), SERVICE, Time::ZERO, FLOW_LIFE)
 }
 
-// An agent that has run for longer than any flow lives, so it knows all flows of its host.
-pub fn serving() -> AgentPath {
+// An agent that has run for longer than any flow lives, so its flow table is complete.
+pub fn serving_agent() -> AgentPath {
     let mut agent = AgentPath::new(node(3), SERVICE, Time::ZERO, Span::ZERO);
-    agent.hear(at(0), word("i-1", 100, 1));
+    agent.hear(at(0), heartbeat("i-1", 100, 1));
     agent
 }
 
@@ -61,7 +61,7 @@
     )
 }
 
-pub fn later(port: u16) -> Head {
+pub fn data_packet(port: u16) -> Head {
     let acknowledging = true;
     let flags = Flags {
         acknowledging,
@@ -74,7 +74,7 @@
     }
 }
 
-// What the backend server sends on the flow of a caller's packet.
+// A packet from the backend server on the flow of a caller's packet.
 pub fn answer(caller: &Head, opening: bool, data: u16) -> Head {
     let acknowledging = true;
     Head {
@@ -90,6 +90,7 @@
     }
 }
 
+// A caller's packet that the backend server returns.
 pub fn returned(caller: &Head, token: u32) -> Head {
     let flags = Flags {
         returned: true,
@@ -119,11 +120,12 @@
     }
 }
 
-pub fn open(agent: &mut AgentPath, port: u16) {
+// Opens a flow: handshake, a first packet with data and the acknowledgement of it.
+pub fn open_flow(agent: &mut AgentPath, port: u16) {
     let caller = opening(port);
     let inbound = agent.on_packet(at(1), &caller, &trip(&[3, 4], 0));
     assert_matches!(inbound.step, Step::Deliver { opening: true, .. });
     agent.on_host_packet(at(1), &answer(&caller, true, 0));
-    agent.on_packet(at(2), &later(port), &trip(&[3, 4], 0));
-    agent.on_host_packet(at(3), &answer(&later(port), false, 0));
+    agent.on_packet(at(2), &data_packet(port), &trip(&[3, 4], 0));
+    agent.on_host_packet(at(3), &answer(&data_packet(port), false, 0));
 }
--- a/crates/forwarding/tests/agent/flows.rs
+++ b/crates/forwarding/tests/agent/flows.rs
@@ -4,10 +4,11 @@
 };
 
 use crate::fixture::{
-    agent, answer, at, later, node, open, opening, returned, serving, trip, word,
+    agent, answer, at, data_packet, heartbeat, node, open_flow, opening, returned, serving_agent,
+    trip,
 };
 
-/// Guards against a flow that a restarted agent gives to a host that it has not heard.
+/// Guards against a restarted agent that delivers new flows before a heartbeat.
 #[test]
 fn an_agent_takes_no_flow_before_the_first_heartbeat() {
     let inbound = agent().on_packet(at(1), &opening(1), &trip(&[3, 4], 0));
@@ -17,108 +18,122 @@
     );
 }
 
-/// Guards against new work for a backend server that leaves.
+/// Guards against new flows for a draining backend server.
+///
+/// Also against the loss of its open flows.
 #[test]
 fn a_leaving_backend_server_gets_no_new_flow_and_keeps_its_own() {
-    let mut agent = serving();
-    open(&mut agent, 1);
+    let mut agent = serving_agent();
+    open_flow(&mut agent, 1);
     let draining = HostWord {
         draining: true,
-        ..word("i-1", 100, 2)
+        ..heartbeat("i-1", 100, 2)
     };
     assert_eq!(agent.hear(at(10), draining).0, Heard::Changed);
     let inbound = agent.on_packet(at(11), &opening(2), &trip(&[3], 0));
     assert_matches!(inbound.step, Step::Refuse { .. });
-    let inbound = agent.on_packet(at(11), &later(1), &trip(&[3], 0));
+    let inbound = agent.on_packet(at(11), &data_packet(1), &trip(&[3], 0));
     assert_matches!(inbound.step, Step::Deliver { token: 0, .. });
 }
 
-/// Guards against a late heartbeat that takes a departure back, or revives an ended process.
+/// Guards against a late heartbeat that cancels draining or brings back an ended process.
 #[test]
 fn late_words_change_nothing() {
-    let mut agent = serving();
+    let mut agent = serving_agent();
     let draining = HostWord {
         draining: true,
-        ..word("i-1", 100, 5)
+        ..heartbeat("i-1", 100, 5)
     };
     agent.hear(at(10), draining);
-    assert_eq!(agent.hear(at(11), word("i-1", 100, 4)).0, Heard::Late);
+    assert_eq!(agent.hear(at(11), heartbeat("i-1", 100, 4)).0, Heard::Late);
     assert_eq!(agent.state(), HostState::Draining);
-    assert_eq!(agent.hear(at(12), word("i-2", 200, 1)).0, Heard::Started);
-    assert_eq!(agent.hear(at(13), word("i-1", 100, 6)).0, Heard::Late);
+    assert_eq!(
+        agent.hear(at(12), heartbeat("i-2", 200, 1)).0,
+        Heard::Started
+    );
+    assert_eq!(agent.hear(at(13), heartbeat("i-1", 100, 6)).0, Heard::Late);
     assert!(agent.leave(at(14), "i-1").is_none());
     assert_eq!(agent.state(), HostState::Serving);
 }
 
-/// Guards against a backend server whose clock stepped back and that is ignored for good.
+/// Guards against ignoring a backend server whose clock stepped back.
 #[test]
 fn an_earlier_start_counts_once_the_later_process_is_silent() {
-    let mut agent = serving();
-    assert_eq!(agent.hear(at(1_000), word("i-2", 50, 1)).0, Heard::Late);
-    assert_eq!(agent.hear(at(4_000), word("i-2", 50, 3)).0, Heard::Started);
+    let mut agent = serving_agent();
+    assert_eq!(
+        agent.hear(at(1_000), heartbeat("i-2", 50, 1)).0,
+        Heard::Late
+    );
+    assert_eq!(
+        agent.hear(at(4_000), heartbeat("i-2", 50, 3)).0,
+        Heard::Started
+    );
     assert_eq!(agent.word().unwrap().id, "i-2");
 }
 
 /// Guards against callers that wait for a process that has been replaced.
 #[test]
 fn flows_of_an_earlier_process_are_given_up() {
-    for later_word in [word("i-2", 200, 1), word("i-1", 200, 1)] {
-        let mut agent = serving();
-        open(&mut agent, 1);
+    for later_word in [heartbeat("i-2", 200, 1), heartbeat("i-1", 200, 1)] {
+        let mut agent = serving_agent();
+        open_flow(&mut agent, 1);
         let (heard, gone) = agent.hear(at(2_600), later_word);
         assert_eq!(heard, Heard::Started);
-        assert_eq!(gone, [(later(1).inbound(), 77)]);
+        assert_eq!(gone, [(data_packet(1).inbound(), 77)]);
     }
-    let mut agent = serving();
-    open(&mut agent, 1);
+    let mut agent = serving_agent();
+    open_flow(&mut agent, 1);
     assert_eq!(agent.leave(at(10), "i-1").map(|gone| gone.len()), Some(1));
 }
 
-/// Guards against a flow that a new process took before its first heartbeat, and that is reset or
-/// passed on when the heartbeat comes.
+/// Guards against the reset of a flow that a new process may hold.
+///
+/// The new process may have taken flows before its first heartbeat arrived.
 #[test]
 fn flows_that_a_new_process_may_hold_are_left_to_it() {
-    let mut agent = serving();
-    open(&mut agent, 1);
-    let (heard, gone) = agent.hear(at(1_000), word("i-1", 200, 1));
+    let mut agent = serving_agent();
+    open_flow(&mut agent, 1);
+    let (heard, gone) = agent.hear(at(1_000), heartbeat("i-1", 200, 1));
     assert_eq!((heard, gone), (Heard::Started, Vec::new()));
-    let inbound = agent.on_packet(at(1_001), &later(1), &trip(&[3, 4], 0));
+    let inbound = agent.on_packet(at(1_001), &data_packet(1), &trip(&[3, 4], 0));
     let token = assert_matches!(inbound.step, Step::Deliver { token, .. } => token);
     assert_ne!(token, 0, "the backend server may return the packet");
-    let outbound = agent.on_host_packet(at(1_002), &returned(&later(1), token));
+    let outbound = agent.on_host_packet(at(1_002), &returned(&data_packet(1), token));
     let inward = assert_matches!(outbound, Outbound::Inward(inbound) => inbound);
     assert_matches!(inward.step, Step::Forward { .. });
 }
 
-/// Guards against a reset of a flow whose first packet also reached another agent, late: its backend
-/// server answers the copy, and ends while the flow lives on the other host.
+/// Guards against the reset of a flow that is open on another host.
+///
+/// A late copy of its opening packet reached this agent. The backend server answered the copy, and
+/// then ended.
 #[test]
 fn a_late_copy_of_a_first_packet_ends_in_silence() {
     let begin = || {
-        let mut agent = serving();
+        let mut agent = serving_agent();
         agent.on_packet(at(1), &opening(1), &trip(&[3, 4], 0));
         agent.on_host_packet(at(2), &answer(&opening(1), true, 0));
         agent.on_packet(at(3), &opening(1), &trip(&[3, 4], 0));
         agent
     };
     let mut agent = begin();
-    let (heard, gone) = agent.hear(at(5_000), word("i-2", 200, 1));
+    let (heard, gone) = agent.hear(at(5_000), heartbeat("i-2", 200, 1));
     assert_eq!((heard, gone), (Heard::Started, Vec::new()));
     assert_eq!(begin().leave(at(5_000), "i-1"), Some(Vec::new()));
     // The caller's next packet shows that the flow is here.
     let mut agent = begin();
-    agent.on_packet(at(4), &later(1), &trip(&[3, 4], 0));
+    agent.on_packet(at(4), &data_packet(1), &trip(&[3, 4], 0));
     assert_eq!(agent.leave(at(5_000), "i-1").unwrap().len(), 1);
 }
 
-/// Guards against a packet for one service that reaches another one at a reused address.
+/// Guards against delivery to another service at a reused address.
 #[test]
 fn an_opening_packet_of_another_service_is_passed_on() {
     let other = Trip {
         service: ServiceKey::of("pedigree"),
         ..trip(&[3, 4], 0)
     };
-    let inbound = serving().on_packet(at(1), &opening(1), &other);
+    let inbound = serving_agent().on_packet(at(1), &opening(1), &other);
     assert_matches!(
         inbound.step,
         Step::Forward {
@@ -128,10 +143,10 @@
     );
 }
 
-/// Guards against a returned packet that is lost, or goes to a host that has had it.
+/// Guards against a returned packet that is lost or visits a host twice.
 #[test]
 fn a_returned_packet_goes_to_the_next_candidate() {
-    let mut agent = serving();
+    let mut agent = serving_agent();
     let caller = opening(1);
     let inbound = agent.on_packet(at(1), &caller, &trip(&[3, 4], 0));
     let token = assert_matches!(inbound.step, Step::Deliver { token, .. } => token);
@@ -143,35 +158,35 @@
     );
     let again = agent.on_host_packet(at(3), &returned(&caller, token));
     let inward = assert_matches!(again, Outbound::Inward(inbound) => inbound);
-    assert_eq!(inward.step, Step::Drop, "a token counts once");
+    assert_eq!(inward.step, Step::Drop, "a token is valid once");
 }
 
-/// Guards against a restarted agent that loses or resets the flows of its living host.
+/// Guards against a restarted agent that loses or resets flows of its host.
 #[test]
 fn a_restarted_agent_lets_its_host_answer_for_older_flows() {
     let mut agent = agent();
-    // A first heartbeat does not tell that there are no flows: the agent before may have given
-    // some to a process that it had not heard.
-    agent.hear(at(0), word("i-1", 100, 1));
-    let inbound = agent.on_packet(at(1), &later(1), &trip(&[3, 4], 0));
+    // The backend server may hold flows even before its first heartbeat: the previous agent process
+    // may have delivered some.
+    agent.hear(at(0), heartbeat("i-1", 100, 1));
+    let inbound = agent.on_packet(at(1), &data_packet(1), &trip(&[3, 4], 0));
     let token = assert_matches!(
         inbound.step,
         Step::Deliver { token, opening: false } if token != 0 => token
     );
-    let outbound = agent.on_host_packet(at(2), &returned(&later(1), token));
+    let outbound = agent.on_host_packet(at(2), &returned(&data_packet(1), token));
     let inward = assert_matches!(outbound, Outbound::Inward(inbound) => inbound);
     assert_matches!(inward.step, Step::Forward { to, .. } if to == node(4));
-    agent.on_host_packet(at(3), &answer(&later(2), false, 100));
-    let inbound = agent.on_packet(at(4), &later(2), &trip(&[4, 3], 1));
+    agent.on_host_packet(at(3), &answer(&data_packet(2), false, 100));
+    let inbound = agent.on_packet(at(4), &data_packet(2), &trip(&[4, 3], 1));
     assert_matches!(inbound.step, Step::Deliver { token: 0, .. });
     assert_eq!(inbound.tell, Some(node(9)), "the balancer learns the host");
 }
 
-/// Guards against packets that reach hosts which do not hold their flow.
+/// Guards against the loss of packets at hosts that do not hold their flow.
 #[test]
 fn a_flow_that_is_not_held_is_passed_on_to_the_end_of_the_trip() {
-    let mut agent = serving();
-    let inbound = agent.on_packet(at(1), &later(1), &trip(&[3, 4], 0));
+    let mut agent = serving_agent();
+    let inbound = agent.on_packet(at(1), &data_packet(1), &trip(&[3, 4], 0));
     assert_matches!(
         inbound.step,
         Step::Forward {
@@ -179,14 +194,14 @@
             ..
         }
     );
-    let inbound = agent.on_packet(at(1), &later(1), &trip(&[4, 3], 1));
+    let inbound = agent.on_packet(at(1), &data_packet(1), &trip(&[4, 3], 1));
     assert_matches!(inbound.step, Step::Missing { origin, received: 77, .. } if origin == node(9));
 }
 
-/// Guards against new flows for a backend server that has died without a word.
+/// Guards against new flows for a backend server that stopped without notice.
 #[test]
 fn a_silent_backend_server_gets_one_trial_at_a_time() {
-    let mut agent = serving();
+    let mut agent = serving_agent();
     agent.on_packet(at(1), &opening(1), &trip(&[3, 4], 0));
     let inbound = agent.on_packet(at(200), &opening(2), &trip(&[3, 4], 0));
     assert_matches!(
@@ -202,10 +217,10 @@
     assert!(agent.load(at(702)).working >= 1);
 }
 
-/// Guards against new flows for an agent that stops as planned.
+/// Guards against new flows at an agent that is shutting down.
 #[test]
 fn a_stopping_agent_takes_no_new_flow() {
-    let mut agent = serving();
+    let mut agent = serving_agent();
     agent.stop();
     let inbound = agent.on_packet(at(1), &opening(1), &trip(&[3, 4], 0));
     assert_matches!(inbound.step, Step::Forward { .. });
--- a/crates/forwarding/tests/agent/main.rs
+++ b/crates/forwarding/tests/agent/main.rs
@@ -1,4 +1,4 @@
-//! What an agent does with packets, as a table of situations.
+//! Decisions of an agent about packets, one situation per test.
 
 mod fixture;
 mod flows;
--- a/crates/forwarding/tests/agent/queue.rs
+++ b/crates/forwarding/tests/agent/queue.rs
@@ -2,22 +2,25 @@
 use usher_forwarding::{Best, ForwardReason, HostWord, Step, Trip};
 use usher_types::Span;
 
-use crate::fixture::{answer, at, later, node, open, opening, serving, trip, word};
+use crate::fixture::{
+    answer, at, data_packet, heartbeat, node, open_flow, opening, serving_agent, trip,
+};
 
-/// Guards against a busy host that queues a flow while another one is free, and against a flow
-/// that is refused although a host could serve it in time.
+/// Guards against a busy host that queues a flow while another host is free.
+///
+/// Also against the refusal of a flow that a host could serve in time.
 #[test]
 fn a_busy_host_passes_on_and_the_shortest_queue_takes_it() {
-    let mut agent = serving();
-    open(&mut agent, 1);
-    open(&mut agent, 2);
+    let mut agent = serving_agent();
+    open_flow(&mut agent, 1);
+    open_flow(&mut agent, 2);
     let busy = agent.on_packet(at(4), &opening(3), &trip(&[3, 4], 0));
     let passed = assert_matches!(
         busy.step,
         Step::Forward { to, trip, reason: ForwardReason::Busy } if to == node(4) => trip
     );
     assert_eq!(passed.best.unwrap().node, node(3));
-    // The other host is busier, so the flow comes back and is taken.
+    // The other host is busier, so the flow comes back and is accepted.
     let last = Trip {
         last: true,
         ..passed
@@ -26,12 +29,12 @@
     assert_matches!(taken.step, Step::Deliver { opening: true, .. });
 }
 
-/// Guards against a wait that the caller cannot use.
+/// Guards against a wait that makes the answer useless to the caller.
 #[test]
 fn a_flow_that_cannot_be_served_in_time_is_refused_at_once() {
-    let mut agent = serving();
-    open(&mut agent, 1);
-    open(&mut agent, 2);
+    let mut agent = serving_agent();
+    open_flow(&mut agent, 1);
+    open_flow(&mut agent, 2);
     let hopeless = Trip {
         budget: Span::from_millis(5),
         best: Some(Best {
@@ -44,11 +47,12 @@
     assert_matches!(inbound.step, Step::Refuse { wait: Some(_), .. });
 }
 
-/// Guards against a backend server that sheds what its agent could hold back, and against a read
-/// that goes before a booking.
+/// Guards against a backend server that rejects flows which its agent could queue.
+///
+/// Also against a flow that is served before one of a more urgent route.
 #[test]
 fn flows_wait_for_a_slot_the_most_urgent_first() {
-    let mut agent = serving();
+    let mut agent = serving_agent();
     let last = |rank| Trip {
         rank,
         last: true,
@@ -67,9 +71,9 @@
         ..trip(&[4, 3], 1)
     };
     let held = agent.on_packet(at(2), &opening(7), &elsewhere);
-    assert_eq!(held.tell, Some(node(9)), "copies have to come here");
+    assert_eq!(held.tell, Some(node(9)), "copies must be sent here");
     let copy = agent.on_packet(at(3), &opening(5), &last(1));
-    assert_eq!(copy.step, Step::Drop, "it waits already");
+    assert_eq!(copy.step, Step::Drop, "the flow is already queued");
     assert_eq!(agent.load(at(3)).working, 7);
     assert_eq!(agent.release(at(3)), []);
     for (answered, expected) in [(1, 5), (2, 4), (3, 6)] {
@@ -86,12 +90,13 @@
     }
 }
 
-/// Guards against a caller that waits for a slot which it can no longer use, and against flows that
-/// wait for a backend server that leaves.
+/// Guards against flows that are queued for too long.
+///
+/// Also against flows that are queued for a draining backend server.
 #[test]
 fn waiting_flows_are_refused_when_waiting_is_of_no_use() {
     let busy = || {
-        let mut agent = serving();
+        let mut agent = serving_agent();
         let last = Trip {
             last: true,
             ..trip(&[3], 0)
@@ -103,27 +108,28 @@
     };
     let mut agent = busy();
     for port in 1..=3 {
-        agent.on_packet(at(2), &later(port), &trip(&[3], 0));
+        agent.on_packet(at(2), &data_packet(port), &trip(&[3], 0));
     }
-    // The target of 500 ms less three mean times of work, counted from the arrival at 1 ms.
+    // The budget of 500 ms less three mean processing times, counted from the arrival at 1 ms.
     assert_eq!(agent.release(at(440)), []);
     let released = agent.release(at(441));
     assert_matches!(released[0].inbound.step, Step::Refuse { .. });
     let mut agent = busy();
     let draining = HostWord {
         draining: true,
-        ..word("i-1", 100, 2)
+        ..heartbeat("i-1", 100, 2)
     };
     agent.hear(at(2), draining);
     let released = agent.release(at(2));
     assert_matches!(released[0].inbound.step, Step::Refuse { .. });
 }
 
-/// Guards against callers that have given up and hold the slots of a backend server: after an outage
-/// nearly all opening packets are of that kind, and nobody was served.
+/// Guards against slots that stay taken by callers which have given up.
+///
+/// After an outage nearly all opening packets come from such callers, and no caller was served.
 #[test]
 fn a_caller_that_does_not_follow_up_holds_no_slot() {
-    let mut agent = serving();
+    let mut agent = serving_agent();
     let last = Trip {
         last: true,
         ..trip(&[3], 0)
--- a/crates/forwarding/tests/balancer.rs
+++ b/crates/forwarding/tests/balancer.rs
@@ -1,4 +1,4 @@
-//! Where a balancer sends packets, as a table of situations.
+//! Decisions of a balancer about packets, one situation per test.
 
 use std::sync::Arc;
 
@@ -50,7 +50,7 @@
     })
 }
 
-// A balancer with three hosts of one service, all heard at the same time.
+// A balancer and three hosts of one service, which all reported at the same time.
 struct Fixture {
     directory: Directory,
     path: BalancerPath,
@@ -93,7 +93,7 @@
         self.path.on_packet(at(millis), head, &self.view)
     }
 
-    // The host that a flow is placed on.
+    // Sends an opening packet and returns the host that the flow is placed on.
     fn place(&mut self, millis: u64, port: u16, copy: u32) -> NodeId {
         let verdict = self.send(millis, &opening(port, copy));
         assert_matches!(verdict, Verdict::Send { to, how: Found::Placed { .. }, .. } => to)
@@ -138,8 +138,9 @@
     }
 }
 
-/// Guards against a copy of an opening packet that opens the flow at a second host, and against
-/// one that follows the first to a host that has died.
+/// Guards against a copy of an opening packet that opens the flow twice.
+///
+/// Also against a copy that is sent to the host of the first packet when that host is gone.
 #[test]
 fn copies_follow_the_first_packet_while_its_host_is_heard() {
     let mut fixture = Fixture::new();
@@ -153,7 +154,7 @@
     assert_ne!(fixture.place(610, 1, 2), first);
 }
 
-/// Guards against hosts that get new flows although they do not take any.
+/// Guards against new flows for hosts that do not take any.
 #[test]
 fn only_serving_hosts_are_candidates_for_new_flows() {
     for state in [HostState::Draining, HostState::Ended, HostState::Unheard] {
@@ -171,7 +172,7 @@
     }
 }
 
-/// Guards against a balancer that is cut off itself and holds all hosts to be dead.
+/// Guards against a balancer that is cut off and treats all hosts as gone.
 #[test]
 fn a_balancer_that_hears_nobody_keeps_placing() {
     let mut fixture = Fixture::new();
@@ -179,7 +180,7 @@
     assert!(!fixture.directory.expire(at(60_000)));
 }
 
-/// Guards against a host that died without a word and stays in the directory.
+/// Guards against a host that stopped without notice and stays in the directory.
 #[test]
 fn a_silent_host_is_forgotten_while_others_are_heard() {
     let mut fixture = Fixture::new();
@@ -189,7 +190,7 @@
     assert_eq!(fixture.directory.agents().count(), 2);
 }
 
-/// Guards against an old report that takes a departure back.
+/// Guards against a late report that cancels draining.
 #[test]
 fn late_reports_change_nothing() {
     let mut fixture = Fixture::new();
@@ -201,7 +202,7 @@
     fixture.hear(6, 3, &report(4, SERVICE));
     let state = fixture.directory.state(at(6), node(3)).unwrap().0;
     assert_eq!(state, HostState::Draining);
-    // A new process of the agent begins to count anew, and its predecessor's reports are late.
+    // A new process of the agent restarts the sequence; reports of its predecessor are late.
     let restarted = Report {
         epoch: 2,
         ..report(1, SERVICE)
@@ -212,7 +213,9 @@
     assert_eq!(state, HostState::Serving);
 }
 
-/// Guards against a flow that is lost when the rotation brings its packets to another balancer.
+/// Guards against the loss of a flow whose packets move to another balancer.
+///
+/// That happens when the rotation changes.
 #[test]
 fn an_unknown_flow_is_searched_and_then_found() {
     let mut fixture = Fixture::new();
@@ -228,7 +231,7 @@
     assert_matches!(verdict, Verdict::Send { to, how: Found::Cached, .. } if to == node(5));
 }
 
-/// Guards against a flow that is lost when a configuration moves its route to another service.
+/// Guards against the loss of a flow whose route moves to another service.
 #[test]
 fn flows_are_searched_at_the_services_of_earlier_configurations() {
     let mut fixture = Fixture::new();
@@ -246,7 +249,7 @@
     assert!(!trip.candidates.as_slice().contains(&node(3)));
 }
 
-/// Guards against a caller that waits for an address which no route has.
+/// Guards against a caller that waits at an address without a route.
 #[test]
 fn new_flows_without_a_route_are_refused_at_once() {
     let mut fixture = Fixture::new();
@@ -265,7 +268,7 @@
     assert_eq!(verdict, Verdict::Drop(Refused::Unconfigured));
 }
 
-/// Guards against a reset of a flow whose host may live.
+/// Guards against the reset of a flow whose host may still run.
 #[test]
 fn a_missing_flow_is_reset_only_when_all_hosts_are_heard() {
     let missing = Hint::Missing {
@@ -289,8 +292,9 @@
     assert_eq!(verdict, unsettled, "a host has just joined");
 }
 
-/// Guards against a flow of a large service that the first agents of a search do not hold, and that
-/// is reset although its host lives.
+/// Guards against the reset of a flow whose host a search visits late.
+///
+/// A large service has more hosts than one search round visits.
 #[test]
 fn a_search_visits_all_hosts_of_a_large_service_before_it_gives_up() {
     let mut fixture = Fixture::new();
@@ -318,7 +322,7 @@
     assert_eq!(visited.len(), 40);
 }
 
-/// Guards against a flow of a large service that is placed where a search looks last.
+/// Guards against flows of a large service on hosts that a search visits last.
 #[test]
 fn flows_of_a_large_service_are_placed_where_a_search_begins() {
     let mut fixture = Fixture::new();
@@ -334,8 +338,9 @@
     }
 }
 
-/// Guards against callers that are refused because the balancer has just started, and against callers
-/// that wait for a service without hosts.
+/// Guards against the refusal of callers by a balancer that has just started.
+///
+/// Also against callers that wait for a service without hosts.
 #[test]
 fn a_service_without_hosts_refuses_once_the_balancer_knows() {
     let mut fixture = Fixture::new();
--- a/crates/forwarding/tests/exchange.rs
+++ b/crates/forwarding/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Control traffic of a whole fleet, message by message, without a network.
+//! Simulates the control traffic of a whole fleet, message by message, without a network.
 
 use usher_forwarding::{
     Directory, Exchange, Fleet, Hello, HostState, Load, NodeId, Relayed, Report, ServiceKey,
@@ -6,8 +6,8 @@
 use usher_types::{DataCentre, Sequence, Slots, Span, Time, Version};
 
 const CENTRES: [&str; 3] = ["kolkata", "howrah", "barasat"];
-const STEP: u64 = 100;
-const GREET: u64 = 300;
+const STEP_MILLIS: u64 = 100;
+const HELLO_MILLIS: u64 = 300;
 const STRENGTH: &str = "0.05";
 
 struct Balancer {
@@ -32,10 +32,11 @@
     now: Time,
     balancers: Vec<Balancer>,
     agents: Vec<Agent>,
-    /// Messages within data centres and between them, since the last count.
-    near: usize,
-    far: usize,
-    /// Most messages that one balancer has sent since the last count.
+    /// Messages within data centres since the last reset.
+    local_messages: usize,
+    /// Messages between data centres since the last reset.
+    remote_messages: usize,
+    /// Digests and hellos that each balancer has sent since the last reset.
     sent: Vec<usize>,
 }
 
@@ -52,7 +53,7 @@
 }
 
 impl World {
-    // All start at once and know from the store which balancers there are.
+    // All nodes start at once and know all balancers from the store.
     fn new(balancers: usize, agents: usize) -> Self {
         let now = Time::ZERO + Span::from_secs(1);
         let mut world = Self {
@@ -81,15 +82,15 @@
                     state: HostState::Serving,
                 })
                 .collect(),
-            near: 0,
-            far: 0,
+            local_messages: 0,
+            remote_messages: 0,
             sent: vec![0; balancers],
         };
-        world.list();
+        world.learn_balancers();
         world
     }
 
-    fn list(&mut self) {
+    fn learn_balancers(&mut self) {
         let nodes: Vec<NodeId> = self
             .balancers
             .iter()
@@ -108,17 +109,17 @@
     }
 
     fn run(&mut self, millis: u64) {
-        for _ in 0..millis / STEP {
-            self.now = self.now + Span::from_millis(STEP);
-            self.report();
-            self.relay();
-            if self.now.as_micros().is_multiple_of(GREET * 1_000) {
-                self.greet();
+        for _ in 0..millis / STEP_MILLIS {
+            self.now = self.now + Span::from_millis(STEP_MILLIS);
+            self.send_reports();
+            self.send_digests();
+            if self.now.as_micros().is_multiple_of(HELLO_MILLIS * 1_000) {
+                self.send_hellos();
             }
         }
     }
 
-    fn report(&mut self) {
+    fn send_reports(&mut self) {
         for index in 0..self.agents.len() {
             let agent = &mut self.agents[index];
             let report = Report {
@@ -137,7 +138,7 @@
             let (node, centre) = (agent.node, agent.centre.clone());
             for relay in agent.fleet.relays(self.now, node, &centre) {
                 let now = self.now;
-                if let Some(balancer) = self.reach(relay, &centre) {
+                if let Some(balancer) = self.send_to(relay, &centre) {
                     balancer.exchange.hear_agent(now, node);
                     balancer.directory.hear_direct(now, node, &report);
                 }
@@ -145,7 +146,7 @@
         }
     }
 
-    fn relay(&mut self) {
+    fn send_digests(&mut self) {
         for index in 0..self.balancers.len() {
             let now = self.now;
             let from = &mut self.balancers[index];
@@ -160,7 +161,7 @@
                 }
                 self.sent[index] += to.len();
                 for receiver in to {
-                    if let Some(balancer) = self.reach(receiver, &centre) {
+                    if let Some(balancer) = self.send_to(receiver, &centre) {
                         let from = balancer.fleet.centre(node).cloned();
                         for (agent, report) in &reports {
                             let directory = &mut balancer.directory;
@@ -172,7 +173,7 @@
         }
     }
 
-    fn greet(&mut self) {
+    fn send_hellos(&mut self) {
         for index in 0..self.balancers.len() {
             let now = self.now;
             let from = &mut self.balancers[index];
@@ -198,33 +199,34 @@
                 let agent = agent.unwrap();
                 let near = agent.centre == centre;
                 agent.fleet.hear(now, node, &hello);
-                self.near += usize::from(near);
-                self.far += usize::from(!near);
+                self.local_messages += usize::from(near);
+                self.remote_messages += usize::from(!near);
             }
             for (receiver, ask) in greeted {
                 hello.ask = ask;
-                if let Some(balancer) = self.reach(receiver, &centre) {
+                if let Some(balancer) = self.send_to(receiver, &centre) {
                     balancer.fleet.hear(now, node, &hello);
-                    // As the feed does with a newer version.
+                    // A balancer fetches a newer version that a hello names.
                     balancer.version = balancer.version.max(hello.version);
                 }
             }
         }
     }
 
-    fn reach(&mut self, node: NodeId, from: &DataCentre) -> Option<&mut Balancer> {
+    fn send_to(&mut self, node: NodeId, from: &DataCentre) -> Option<&mut Balancer> {
         let mut balancers = self.balancers.iter_mut();
         let balancer = balancers.find(|balancer| balancer.node == node)?;
         if balancer.centre == *from {
-            self.near += 1;
+            self.local_messages += 1;
         } else {
-            self.far += 1;
+            self.remote_messages += 1;
         }
         balancer.up.then_some(balancer)
     }
 
-    // Whether every balancer that is up knows every agent, and none has a report older than this.
-    fn assert_known(&self, oldest: u64) {
+    // Every balancer that is up must know the state of every agent from a report that is at most
+    // `max_age` milliseconds old.
+    fn assert_known(&self, max_age: u64) {
         for balancer in self.balancers.iter().filter(|balancer| balancer.up) {
             for agent in &self.agents {
                 let known = balancer.directory.state(self.now, agent.node);
@@ -233,7 +235,7 @@
                 });
                 assert_eq!(state, agent.state, "{} at {}", agent.node, balancer.node);
                 assert!(
-                    age <= Span::from_millis(oldest),
+                    age <= Span::from_millis(max_age),
                     "{} at {}: {age}",
                     agent.node,
                     balancer.node
@@ -243,13 +245,14 @@
     }
 
     fn reset_counts(&mut self) {
-        (self.near, self.far) = (0, 0);
+        (self.local_messages, self.remote_messages) = (0, 0);
         self.sent.fill(0);
     }
 }
 
-/// Guards against control traffic that grows with the product of balancers and nodes, and against
-/// hosts that some balancers do not know.
+/// Guards against control traffic that grows with the product of balancers and nodes.
+///
+/// Also against hosts that some balancers do not know.
 #[test]
 fn traffic_stays_bounded_as_the_fleet_grows() {
     let measure = |balancers: usize, agents: usize| {
@@ -261,12 +264,13 @@
         world.assert_known(1_200);
         let sent = world.sent.iter().max().copied().unwrap();
         println!(
-            "{balancers} balancers, {agents} agents: {} far, {sent} by one",
-            world.far
+            "{balancers} balancers, {agents} agents: {} between data centres, {sent} by one",
+            world.remote_messages
         );
-        (world.far, sent)
+        (world.remote_messages, sent)
     };
-    // The largest fleet in which everybody hears everybody is not cheaper than a larger one.
+    // A fleet of 8 balancers is the largest in which all nodes exchange messages directly. A larger
+    // one must not need more messages between data centres.
     let (small, _) = measure(8, 24);
     let (far, sent) = measure(15, 45);
     assert!(far <= small, "{far} messages between data centres");
@@ -275,13 +279,14 @@
     assert!(sent_large <= 5 * sent, "{sent_large} after {sent}");
 }
 
-/// Guards against hosts that are lost with their relays, and against agents that do not find the
-/// balancers that remain.
+/// Guards against hosts that become unknown when the relays of their agents stop.
+///
+/// Also against agents that do not find the remaining balancers.
 #[test]
 fn agents_outlive_their_balancers() {
     let mut world = World::new(15, 30);
     world.run(5_000);
-    // Two thirds of a data centre, and all of another one.
+    // Stops three of the five balancers of one data centre, and all of another.
     for (index, balancer) in world.balancers.iter_mut().enumerate() {
         balancer.up = index % 3 != 0 && (index % 3 != 1 || index < 6);
     }
@@ -290,12 +295,14 @@
     for balancer in &mut world.balancers {
         balancer.up = true;
     }
-    world.list();
+    world.learn_balancers();
     world.run(4_000);
     world.assert_known(1_200);
 }
 
-/// Guards against a host whose change of state waits for the slow digests between data centres.
+/// Guards against a change of state that waits for the next digest.
+///
+/// Digests between data centres are slow.
 #[test]
 fn a_change_of_state_is_known_everywhere_at_once() {
     let mut world = World::new(15, 30);
@@ -305,8 +312,7 @@
     world.assert_known(1_500);
 }
 
-/// Guards against a configuration that stays within one data centre when the store does not serve
-/// the others.
+/// Guards against a configuration that reaches only the data centre that the store serves.
 #[test]
 fn a_version_reaches_all_data_centres() {
     for balancers in [4, 15, 60] {
--- a/crates/forwarding/tests/fleet.rs
+++ b/crates/forwarding/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Which balancers a process knows and sends to, and which configuration is in force.
+//! The balancers that a process knows and sends to, and the active configuration.
 
 use usher_forwarding::{Configuration, Departures, Fleet, Hello, InForce, NodeId};
 use usher_types::{Span, Time, Version};
@@ -24,8 +24,9 @@
     }
 }
 
-/// Guards against a balancer that is lost for good after a partition, and against sending to
-/// silent ones at full pace.
+/// Guards against a balancer that is not found again after a partition.
+///
+/// Also against sending to silent balancers as often as to the others.
 #[test]
 fn silent_balancers_are_tried_now_and_then() {
     let mut fleet = Fleet::default();
@@ -38,7 +39,7 @@
     assert_eq!(fleet.present(at(1_001)), []);
 }
 
-/// Guards against a balancer that forgets all others while it is cut off itself.
+/// Guards against a balancer that removes all others while it is cut off itself.
 #[test]
 fn nobody_is_forgotten_while_nobody_is_heard() {
     let mut fleet = Fleet::default();
@@ -49,7 +50,7 @@
     assert_eq!(fleet.expire(at(120_000)), [node(1)]);
 }
 
-/// Guards against a node that the store refuses and that stays behind the others.
+/// Guards against an outdated configuration on a balancer that the store refuses to serve.
 #[test]
 fn a_balancer_with_a_newer_configuration_is_found() {
     let mut fleet = Fleet::default();
@@ -65,8 +66,9 @@
     );
 }
 
-/// Guards against a process whose clock stepped back before it started, and against late greetings
-/// of its predecessor.
+/// Guards against ignoring a process whose clock stepped back before it started.
+///
+/// Also against applying late hellos of its predecessor.
 #[test]
 fn a_process_need_not_start_later_than_its_predecessor() {
     let mut fleet = Fleet::default();
@@ -80,8 +82,8 @@
     );
 }
 
-/// Guards against a configuration that goes back, whatever the source: a stale read, a late answer,
-/// a balancer that is behind, the same document twice.
+/// Guards against an older configuration that replaces a newer one, whatever its source: a stale
+/// read, a late answer, a balancer that is behind, or the same document twice.
 #[test]
 fn the_configuration_in_force_never_goes_back() {
     let mut in_force = InForce::default();
@@ -97,7 +99,7 @@
     assert_eq!(in_force.version(), Version::new(9));
 }
 
-fn strong(epoch: u64, cores: &str, centre: &str) -> Hello {
+fn hello_from(epoch: u64, cores: &str, centre: &str) -> Hello {
     Hello {
         centre: centre.parse().unwrap(),
         strength: cores.parse().unwrap(),
@@ -105,19 +107,20 @@
     }
 }
 
-/// Guards against reports whose number grows with the fleet, and against weak balancers that spend
-/// their processor on relaying.
+/// Guards against reports per agent that grow with the fleet.
+///
+/// Also against weak balancers that spend their processor time on relaying.
 #[test]
 fn agents_report_to_all_of_a_small_fleet_and_to_two_of_a_large_one() {
     let centre = "kolkata".parse().unwrap();
     let mut fleet = Fleet::default();
     for last in 1..=8 {
-        fleet.hear(at(0), node(last), &strong(1, "0.028", "howrah"));
+        fleet.hear(at(0), node(last), &hello_from(1, "0.028", "howrah"));
     }
     assert_eq!(fleet.relays(at(0), node(99), &centre).len(), 8);
     for last in 9..=12 {
         let cores = if last > 10 { "0.5" } else { "0.028" };
-        fleet.hear(at(0), node(last), &strong(1, cores, "kolkata"));
+        fleet.hear(at(0), node(last), &hello_from(1, cores, "kolkata"));
     }
     let mut chosen = Vec::new();
     for agent in 20..80 {
@@ -128,7 +131,7 @@
     let strong = [node(11), node(12)];
     let share = chosen.iter().filter(|relay| strong.contains(relay)).count();
     assert!(share > 100, "{share} of 120");
-    // When nobody is heard, the agent tries all of them within a second, each once.
+    // When no balancer is heard, the agent tries all of them within a second, each once.
     let mut tried: Vec<NodeId> = Vec::new();
     for round in 0..10 {
         tried.extend(fleet.relays(at(9_000 + 100 * round), node(20), &centre));
@@ -137,8 +140,9 @@
     assert_eq!(tried, (1..=12).map(node).collect::<Vec<_>>());
 }
 
-/// Guards against a weak balancer that drops packets at an even share, and against a data centre
-/// with fewer than half of its balancers in rotation.
+/// Guards against a weak balancer that drops packets at an even share.
+///
+/// Also against a data centre with fewer than half of its balancers in rotation.
 #[test]
 fn weak_balancers_stand_by_while_half_of_the_data_centre_is_stronger() {
     let centre = "kolkata".parse().unwrap();
@@ -148,26 +152,27 @@
         !fleet.stands_by(at(0), node(1), weak, &centre),
         "it is alone"
     );
-    fleet.hear(at(0), node(2), &strong(1, "0.028", "kolkata"));
-    fleet.hear(at(0), node(3), &strong(1, "0.5", "kolkata"));
-    fleet.hear(at(0), node(4), &strong(1, "0.5", "howrah"));
+    fleet.hear(at(0), node(2), &hello_from(1, "0.028", "kolkata"));
+    fleet.hear(at(0), node(3), &hello_from(1, "0.5", "kolkata"));
+    fleet.hear(at(0), node(4), &hello_from(1, "0.5", "howrah"));
     // Three are known, so two are needed: the strong one and the first of the weak ones.
     assert!(!fleet.stands_by(at(0), node(1), weak, &centre));
-    fleet.hear(at(0), node(5), &strong(1, "0.5", "kolkata"));
+    fleet.hear(at(0), node(5), &hello_from(1, "0.5", "kolkata"));
     assert!(fleet.stands_by(at(0), node(1), weak, &centre));
-    fleet.hear(at(1_500), node(3), &strong(1, "0.5", "kolkata"));
-    fleet.hear(at(1_500), node(2), &strong(1, "0.028", "kolkata"));
+    fleet.hear(at(1_500), node(3), &hello_from(1, "0.5", "kolkata"));
+    fleet.hear(at(1_500), node(2), &hello_from(1, "0.028", "kolkata"));
     assert!(
         !fleet.stands_by(at(1_500), node(1), weak, &centre),
         "a strong one is silent"
     );
     let equal = "0.2".parse().unwrap();
-    fleet.hear(at(1_500), node(5), &strong(1, "0.5", "kolkata"));
+    fleet.hear(at(1_500), node(5), &hello_from(1, "0.5", "kolkata"));
     assert!(!fleet.stands_by(at(1_500), node(1), equal, &centre));
 }
 
-/// Guards against entries of the dead that pile up in the store, and against a balancer that removes
-/// the living because it is cut off.
+/// Guards against store entries of balancers that are gone.
+///
+/// Also against a balancer that is cut off and removes the entries of running ones.
 #[test]
 fn entries_of_silent_balancers_are_removed_once() {
     let listed = [node(1), node(2), node(3), node(4)];
@@ -187,29 +192,34 @@
     );
     assert_eq!(second.observe(now, node(2), &listed, &[node(1)]), []);
     assert_eq!(alone.observe(now, node(1), &listed, &[]), []);
-    // Node 4 was heard in between, so its time begins anew.
+    // Node 4 was heard in between, so its time starts again.
     assert_eq!(
         first.observe(at(75_000), node(1), &listed, &[node(2)]),
         [node(3)]
     );
 }
 
-/// Guards against a balancer that removes the living of other data centres, which it does not hear,
-/// and against dead ones that nobody removes because a data centre has one balancer only.
+/// Guards against the removal of running balancers of other data centres.
+///
+/// Balancers do not hear all of those. Also against entries of balancers that are gone and stay
+/// because a data centre has only one balancer.
 #[test]
 fn balancers_are_watched_in_their_data_centre() {
     let kolkata = "kolkata".parse().unwrap();
     let mut fleet = Fleet::default();
     for last in 1..=6 {
-        fleet.hear(at(0), node(last), &strong(1, "0.5", "howrah"));
+        fleet.hear(at(0), node(last), &hello_from(1, "0.5", "howrah"));
     }
-    fleet.hear(at(0), node(7), &strong(1, "0.5", "kolkata"));
+    fleet.hear(at(0), node(7), &hello_from(1, "0.5", "kolkata"));
     assert!(fleet.watches(node(1), &kolkata), "the fleet is small");
     fleet.learn(at(0), node(8));
     assert!(!fleet.watches(node(1), &kolkata));
     assert!(fleet.watches(node(7), &kolkata));
-    assert!(fleet.watches(node(8), &kolkata), "nobody knows where it is");
+    assert!(
+        fleet.watches(node(8), &kolkata),
+        "its data centre is not known"
+    );
     assert_eq!(fleet.watchers(at(0), &kolkata), [node(7)]);
-    fleet.hear(at(2_000), node(1), &strong(1, "0.5", "howrah"));
+    fleet.hear(at(2_000), node(1), &hello_from(1, "0.5", "howrah"));
     assert_eq!(fleet.watchers(at(2_000), &kolkata), [node(1)]);
 }
--- a/crates/forwarding/tests/world/main.rs
+++ b/crates/forwarding/tests/world/main.rs
@@ -1,7 +1,8 @@
 //! Balancers, agents, backend servers and callers under random faults.
 //!
-//! Guards against what no single table shows: a flow that is lost, reset or opened at another
-//! service by some order of restarts, rotation changes, losses, departures and late messages.
+//! Guards against failures that arise only from sequences of events: a flow that is lost, reset or
+//! opened at another service by some order of restarts, rotation changes, losses, departures and
+//! late messages.
 
 mod model;
 
@@ -28,11 +29,11 @@
     fn flows_stay_with_their_host(ops in proptest::collection::vec(op(), 1..80), seed in any::<u64>()) {
         let mut world = World::new(seed);
         for op in &ops {
-            world.step(op);
+            world.apply(op);
         }
         world.settle();
         let lost = world.unreachable_flows();
         prop_assert!(lost.is_empty(), "flows that do not reach their host: {lost:?}");
-        prop_assert!(world.faults.is_empty(), "{:?}", world.faults);
+        prop_assert!(world.violations.is_empty(), "{:?}", world.violations);
     }
 }
--- a/crates/forwarding/tests/world/model.rs
+++ b/crates/forwarding/tests/world/model.rs
@@ -14,10 +14,10 @@
 const BALANCERS: usize = 3;
 const HOSTS: usize = 6;
 const FLOW_LIFE: Span = Span::from_secs(60);
-const REPORT: Span = Span::from_millis(100);
-const HEARTBEAT: Span = Span::from_millis(1_200);
+const REPORT_INTERVAL: Span = Span::from_millis(100);
+const HEARTBEAT_INTERVAL: Span = Span::from_millis(1_200);
 const SLOTS: u16 = 3;
-const LOSS: u64 = 5;
+const LOSS_ONE_IN: u64 = 5;
 
 #[derive(Debug, Clone)]
 pub enum Op {
@@ -38,7 +38,7 @@
     ToAgent(NodeId, Head, Trip),
     ToHost(NodeId, Head),
     FromHost(NodeId, Head),
-    Told(NodeId, Hint),
+    HintTo(NodeId, Hint),
     ToCaller(Head),
     Reset(FlowKey),
 }
@@ -60,21 +60,21 @@
     next_beat: Time,
 }
 
-// A caller's flow: where it is open, and in which process there.
+// A caller's flow, and the host and process where it is open.
 #[derive(Debug, Clone, Copy)]
-struct Caller {
+struct CallerFlow {
     service: usize,
     open: Option<(usize, u64)>,
 }
 
 pub struct World {
-    pub faults: Vec<String>,
+    pub violations: Vec<String>,
     now: Time,
     random: u64,
     lossy: bool,
     balancers: Vec<Balancer>,
     hosts: Vec<Host>,
-    callers: HashMap<FlowKey, Caller>,
+    callers: HashMap<FlowKey, CallerFlow>,
     opened: Vec<FlowKey>,
     reached: HashSet<FlowKey>,
     queue: VecDeque<Message>,
@@ -134,7 +134,7 @@
 impl World {
     pub fn new(seed: u64) -> Self {
         let mut world = Self {
-            faults: Vec::new(),
+            violations: Vec::new(),
             now: Time::ZERO,
             random: seed | 1,
             lossy: false,
@@ -159,7 +159,7 @@
         world
     }
 
-    fn draw(&mut self) -> u64 {
+    fn next_random(&mut self) -> u64 {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
         self.random ^= self.random << 17;
@@ -196,11 +196,11 @@
             epoch: self.epochs,
             reports: 0,
             processes: process,
-            next_beat: self.now + HEARTBEAT,
+            next_beat: self.now + HEARTBEAT_INTERVAL,
         }
     }
 
-    pub fn step(&mut self, op: &Op) {
+    pub fn apply(&mut self, op: &Op) {
         match op {
             Op::Open { via, service } => {
                 let port = 1_000 + self.opened.len() as u16;
@@ -208,7 +208,7 @@
                     caller: format!("100.64.0.7:{port}").parse().unwrap(),
                     address: address(*service),
                 };
-                let caller = Caller {
+                let caller = CallerFlow {
                     service: *service,
                     open: None,
                 };
@@ -242,7 +242,7 @@
         self.run();
     }
 
-    /// Waits until all losses are over and all nodes have heard each other.
+    /// Stops losses and waits until all nodes have heard each other.
     pub fn settle(&mut self) {
         self.lossy = false;
         for host in 0..HOSTS {
@@ -252,7 +252,7 @@
         self.run();
     }
 
-    /// Open flows whose packets do not get to their host, which holds them.
+    /// Flows that a host holds but that packets do not reach through some balancer.
     pub fn unreachable_flows(&mut self) -> Vec<FlowKey> {
         let mut lost = Vec::new();
         for flow in self.opened.clone() {
@@ -291,7 +291,7 @@
     fn beat(&mut self, host: usize) {
         let now = self.now;
         let host = &mut self.hosts[host];
-        host.next_beat = now + HEARTBEAT;
+        host.next_beat = now + HEARTBEAT_INTERVAL;
         host.word.sequence = host.word.sequence.next();
         let (_, gone) = host.agent.hear(now, host.word.clone());
         for (flow, _) in gone {
@@ -311,7 +311,7 @@
             FLOW_LIFE,
         );
         // Half of the agents hear a heartbeat before the next packet.
-        if self.draw().is_multiple_of(2) {
+        if self.next_random().is_multiple_of(2) {
             self.beat(agent);
         }
     }
@@ -323,7 +323,7 @@
         word.born += 1;
         word.draining = false;
         word.sequence = Sequence::new(0);
-        if self.draw().is_multiple_of(2) {
+        if self.next_random().is_multiple_of(2) {
             self.beat(host);
         }
     }
@@ -331,7 +331,7 @@
     fn wait(&mut self, millis: u64) {
         let end = self.now + Span::from_millis(millis);
         while self.now < end {
-            self.now = self.now + REPORT;
+            self.now = self.now + REPORT_INTERVAL;
             for host in 0..HOSTS {
                 if self.hosts[host].next_beat <= self.now {
                     self.beat(host);
@@ -363,7 +363,7 @@
             few: false,
         };
         for balancer in 0..BALANCERS {
-            if self.lossy && self.draw().is_multiple_of(LOSS) {
+            if self.lossy && self.next_random().is_multiple_of(LOSS_ONE_IN) {
                 continue;
             }
             let directory = &mut self.balancers[balancer].directory;
--- a/crates/forwarding/tests/world/model/traffic.rs
+++ b/crates/forwarding/tests/world/model/traffic.rs
@@ -1,20 +1,21 @@
-//! The way of each message through the world.
+//! Delivery of each message to the node that it is for.
 
 use usher_forwarding::{Flags, FlowKey, Head, Hint, Inbound, NodeId, Outbound, Step, Verdict};
 
-use super::{LOSS, Message, SERVICES, SLOTS, World, head, host_node, host_of};
+use super::{LOSS_ONE_IN, Message, SERVICES, SLOTS, World, head, host_node, host_of};
 
 impl World {
-    // Delivers messages until none is left; the order is that of a queue.
+    // Delivers messages in the order in which they were sent, until none is left.
     pub(super) fn run(&mut self) {
-        let mut budget = 10_000;
+        let mut remaining = 10_000;
         while let Some(message) = self.queue.pop_front() {
-            budget -= 1;
-            if budget == 0 {
-                self.faults.push("packets travel for ever".to_owned());
+            remaining -= 1;
+            if remaining == 0 {
+                self.violations
+                    .push("packets are forwarded without end".to_owned());
                 return;
             }
-            if self.lossy && self.draw().is_multiple_of(LOSS) {
+            if self.lossy && self.next_random().is_multiple_of(LOSS_ONE_IN) {
                 continue;
             }
             self.deliver(&message);
@@ -28,7 +29,7 @@
                 let verdict = balancer.path.on_packet(self.now, &head, &balancer.view);
                 self.carry_out(&verdict, Some(head));
             }
-            Message::Told(node, hint) => {
+            Message::HintTo(node, hint) => {
                 let balancer = &mut self.balancers[host_of(node)];
                 let verdict = balancer.path.on_hint(self.now, &hint, &balancer.view);
                 if let Some(verdict) = verdict {
@@ -38,9 +39,9 @@
             Message::ToAgent(node, head, trip) => {
                 let agent = &mut self.hosts[host_of(node)].agent;
                 let inbound = agent.on_packet(self.now, &head, &trip);
-                self.inbound(node, head, &inbound);
+                self.on_inbound(node, head, &inbound);
             }
-            Message::ToHost(node, head) => self.host(node, head),
+            Message::ToHost(node, head) => self.receive_at_host(node, head),
             Message::FromHost(node, head) => {
                 let agent = &mut self.hosts[host_of(node)].agent;
                 match agent.on_host_packet(self.now, &head) {
@@ -49,16 +50,16 @@
                         let mut head = head;
                         head.flags.returned = false;
                         head.token = 0;
-                        self.inbound(node, head, &inbound);
+                        self.on_inbound(node, head, &inbound);
                     }
                 }
                 self.release(host_of(node));
             }
-            Message::ToCaller(head) => self.caller(node_of(&head), &head),
+            Message::ToCaller(head) => self.receive_at_caller(flow_of(&head), &head),
             Message::Reset(flow) => {
                 if self.is_held(&flow) {
-                    self.faults
-                        .push(format!("{flow} was reset, but its host lives"));
+                    self.violations
+                        .push(format!("{flow} was reset while its host holds it"));
                 }
             }
         }
@@ -74,7 +75,7 @@
         }
     }
 
-    fn inbound(&mut self, node: NodeId, head: Head, inbound: &Inbound) {
+    fn on_inbound(&mut self, node: NodeId, head: Head, inbound: &Inbound) {
         let flow = head.inbound();
         match inbound.step {
             Step::Deliver { token, .. } => {
@@ -91,32 +92,32 @@
                 received,
             } => {
                 let hint = Hint::Missing { flow, received };
-                self.queue.push_back(Message::Told(origin, hint));
+                self.queue.push_back(Message::HintTo(origin, hint));
             }
             Step::Hold | Step::Drop => {}
         }
         if let Some(origin) = inbound.tell {
             let hint = Hint::Held { flow, node };
-            self.queue.push_back(Message::Told(origin, hint));
+            self.queue.push_back(Message::HintTo(origin, hint));
         }
     }
 
     pub(super) fn release(&mut self, host: usize) {
         for release in self.hosts[host].agent.release(self.now) {
             let head = head(&release.flow, true);
-            self.inbound(host_node(host), head, &release.inbound);
+            self.on_inbound(host_node(host), head, &release.inbound);
         }
     }
 
-    // The backend server: holds a flow or gives the packet back.
-    fn host(&mut self, node: NodeId, packet: Head) {
+    // The backend server: takes a packet of a flow or returns it.
+    fn receive_at_host(&mut self, node: NodeId, packet: Head) {
         let host = &mut self.hosts[host_of(node)];
         let flow = packet.inbound();
         let service = self.callers[&flow].service;
         let held = host.flows.contains(&flow);
         if packet.opens() && host.service != service {
-            let fault = format!("{flow} reached service {}", SERVICES[host.service]);
-            self.faults.push(fault);
+            let violation = format!("{flow} reached service {}", SERVICES[host.service]);
+            self.violations.push(violation);
         }
         let full = host.flows.len() >= usize::from(SLOTS) * 20;
         if !held && (!packet.opens() || full) {
@@ -137,7 +138,7 @@
                 acknowledging: true,
                 ..Flags::default()
             },
-            // The model names the host and its process in place of a random position.
+            // Instead of random positions, these fields carry the host and its process.
             sequence: host_of(node) as u32,
             acknowledged: host.processes as u32,
             data: u16::from(!packet.opens()),
@@ -146,8 +147,8 @@
         self.queue.push_back(Message::FromHost(node, answer));
     }
 
-    // The flow opens at the host whose answer comes first.
-    fn caller(&mut self, flow: FlowKey, answer: &Head) {
+    // The caller: a flow is open at the host whose answer comes first.
+    fn receive_at_caller(&mut self, flow: FlowKey, answer: &Head) {
         let Some(caller) = self.callers.get_mut(&flow) else {
             return;
         };
@@ -158,6 +159,6 @@
     }
 }
 
-fn node_of(answer: &Head) -> FlowKey {
+fn flow_of(answer: &Head) -> FlowKey {
     answer.outbound()
 }
