--- a/crates/node/src/agent/calls.rs
+++ b/crates/node/src/agent/calls.rs
@@ -6,7 +6,7 @@
 use crate::http::Answer;
 
 impl Control {
-    /// Answers a call of the platform or of the backend server.
+    /// Answers an HTTP call from the platform or from the backend server.
     pub(super) fn on_call(&self, call: Option<Call>, body: &[u8]) -> Answer {
         let status = match call {
             Some(Call::Ready) => {
@@ -24,23 +24,23 @@
     }
 
     fn on_heartbeat(&self, id: &str, body: &[u8]) -> u16 {
-        let word = match heartbeat(id, body) {
-            Ok(word) => word,
+        let update = match heartbeat(id, body) {
+            Ok(update) => update,
             Err(fault) => {
                 event::HEARTBEAT_REFUSED.log(&[("id", &id), ("fault", &fault)]);
                 return 400;
             }
         };
         let now = usher_clock::now();
-        let (born, sequence, slots) = (word.born, word.sequence, word.slots);
-        let service = word.service.clone();
-        let (heard, gone) = self.shared.path().hear(now, word);
-        for (flow, received) in &gone {
+        let (born, sequence, slots) = (update.born, update.sequence, update.slots);
+        let service = update.service.clone();
+        let (change, ended) = self.shared.path().hear(now, update);
+        for (flow, received) in &ended {
             self.shared.reset(flow, *received);
             event::FLOW_RESET.log(&[("flow", flow), ("reason", &"backend-restarted")]);
         }
         let state = self.shared.path().state();
-        let event = match heard {
+        let event = match change {
             Heard::Started => event::BACKEND_STARTED,
             Heard::Changed => event::BACKEND_CHANGED,
             Heard::Late => event::HEARTBEAT_LATE,
@@ -63,13 +63,13 @@
 
     fn on_leave(&self, id: &str) {
         let now = usher_clock::now();
-        let gone = self.shared.path().leave(now, id);
-        let Some(gone) = gone else {
+        let ended = self.shared.path().leave(now, id);
+        let Some(ended) = ended else {
             event::HEARTBEAT_LATE.log(&[("id", &id), ("call", &"leave")]);
             return;
         };
-        event::BACKEND_LEFT.log(&[("id", &id), ("flows", &gone.len())]);
-        for (flow, received) in &gone {
+        event::BACKEND_LEFT.log(&[("id", &id), ("flows", &ended.len())]);
+        for (flow, received) in &ended {
             self.shared.reset(flow, *received);
             event::FLOW_RESET.log(&[("flow", flow), ("reason", &"backend-left")]);
         }
--- a/crates/node/src/agent/control.rs
+++ b/crates/node/src/agent/control.rs
@@ -21,16 +21,17 @@
 use crate::socket::open_udp;
 use crate::{NodeError, Settings, event};
 
-// A host that is silent for some of these is avoided; 1 % of a small balancer's processor.
-const REPORT: Duration = Duration::from_millis(100);
-// Flows are forgotten at this pace.
-const EXPIRE: Span = Span::from_secs(1);
-// While no balancer is heard, the store is asked this often; otherwise rarely.
-const SEARCH: Duration = Duration::from_millis(500);
-const RELIST: Duration = Duration::from_secs(30);
+// Balancers avoid a host after a few missed reports. The reports cost 1 % of a small balancer's
+// processor.
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
+// How often expired flows and silent balancers are removed.
+const EXPIRY_INTERVAL: Span = Span::from_secs(1);
+// How often the store is asked for balancers: while none is heard, and otherwise.
+const SEARCH_INTERVAL: Duration = Duration::from_millis(500);
+const RELIST_INTERVAL: Duration = Duration::from_secs(30);
 // Longest wait for open flows at a planned stop.
-const LINGER: Span = Span::from_secs(3);
-// Part of the grace time that is kept for ending.
+const DRAIN_LIMIT: Span = Span::from_secs(3);
+// Part of the grace time that is left for the process to exit.
 const END_MARGIN: Span = Span::from_millis(1_000);
 
 /// Runs an agent until it is stopped.
@@ -39,18 +40,26 @@
     file: &Path,
     mut signals: Signals,
 ) -> Result<(), NodeError> {
-    let Some(own) = settings.agent.clone() else {
+    let Some(agent_settings) = settings.agent.clone() else {
         return Err(NodeError::NoAgent);
     };
     let now = usher_clock::now();
-    let path = AgentPath::new(settings.node, &own.service, now, settings.flow_life);
+    let path = AgentPath::new(
+        settings.node,
+        &agent_settings.service,
+        now,
+        settings.flow_life,
+    );
     let shared = Shared {
         path: Arc::new(Mutex::new(path)),
         held: Arc::default(),
-        outside: Arc::new(open_udp(settings.packets, "packets")?),
-        inside: Arc::new(open_udp(own.outbound, "packets of the backend server")?),
+        network_socket: Arc::new(open_udp(settings.packets, "packets")?),
+        backend_socket: Arc::new(open_udp(
+            agent_settings.outbound,
+            "packets of the backend server",
+        )?),
         node: settings.node,
-        backend: own.backend,
+        backend: agent_settings.backend,
         port: settings.packets.port(),
         metrics: Arc::new(Metrics::new()),
     };
@@ -61,7 +70,7 @@
         epoch: usher_clock::epoch(),
         stopping: Cell::new(None),
         shared,
-        own,
+        agent_settings,
         settings,
     });
     control.listen().await?;
@@ -72,11 +81,11 @@
     spawn_local(Rc::clone(&control).find_balancers());
     event::STARTED.log(&[
         ("role", &"agent"),
-        ("service", &control.own.service),
+        ("service", &control.agent_settings.service),
         ("packets", &control.settings.packets),
-        ("backend", &control.own.backend),
+        ("backend", &control.agent_settings.backend),
     ]);
-    control.serve(&mut signals, file).await;
+    control.event_loop(&mut signals, file).await;
     event::STOPPED.log(&[]);
     Ok(())
 }
@@ -85,7 +94,7 @@
 #[derive(Debug)]
 pub(super) struct Control {
     settings: Settings,
-    own: AgentSettings,
+    agent_settings: AgentSettings,
     pub(super) shared: Shared,
     peers: Peers,
     fleet: RefCell<Fleet>,
@@ -105,9 +114,11 @@
         )
         .await?;
         let shared = Rc::clone(self);
-        serve(self.own.control, "heartbeats", move |method, path, body| {
-            shared.on_call(Call::parse(method, path), body)
-        })
+        serve(
+            self.agent_settings.control,
+            "heartbeats",
+            move |method, path, body| shared.on_call(Call::parse(method, path), body),
+        )
         .await?;
         let shared = Rc::clone(self);
         serve_metrics(&self.settings, move || shared.metrics_text()).await
@@ -119,7 +130,7 @@
             let path = self.shared.path();
             (path.held(), path.load(usher_clock::now()).working)
         };
-        metrics.agent(flows, working);
+        metrics.set_agent(flows, working);
         metrics.text()
     }
 
@@ -142,11 +153,11 @@
         Ok(())
     }
 
-    async fn serve(&self, signals: &mut Signals, file: &Path) {
-        let mut ticks = interval(REPORT);
+    async fn event_loop(&self, signals: &mut Signals, file: &Path) {
+        let mut ticks = interval(REPORT_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut suspends = SuspendWatch::new();
-        let mut expired = usher_clock::now();
+        let mut suspend_watch = SuspendWatch::new();
+        let mut last_expiry = usher_clock::now();
         loop {
             tokio::select! {
                 (node, message) = self.peers.receive() => {
@@ -155,14 +166,14 @@
                     }
                 }
                 _ = ticks.tick() => {
-                    if let Some(span) = suspends.check() {
+                    if let Some(span) = suspend_watch.check() {
                         event::RESUMED.log(&[("for", &span)]);
                     }
                     let now = usher_clock::now();
                     self.shared.release();
                     self.report(now);
-                    if now - expired >= EXPIRE {
-                        expired = now;
+                    if now - last_expiry >= EXPIRY_INTERVAL {
+                        last_expiry = now;
                         self.expire(now);
                     }
                     if self.may_end(now) {
@@ -197,16 +208,16 @@
     pub(super) fn report(&self, now: Time) {
         let report = {
             let path = self.shared.path();
-            let word = path.word();
+            let heartbeat = path.word();
             Report {
                 epoch: self.epoch,
                 sequence: self.sequence.get(),
                 centre: self.settings.centre.clone(),
-                service: ServiceKey::of(&self.own.service),
+                service: ServiceKey::of(&self.agent_settings.service),
                 state: path.state(),
-                born: word.map_or(0, |word| word.born),
-                slots: word.map_or(Slots::new(1), |word| word.slots),
-                warmup: word.map_or(Span::ZERO, |word| word.warmup),
+                born: heartbeat.map_or(0, |heartbeat| heartbeat.born),
+                slots: heartbeat.map_or(Slots::new(1), |heartbeat| heartbeat.slots),
+                warmup: heartbeat.map_or(Span::ZERO, |heartbeat| heartbeat.warmup),
                 load: path.load(now),
                 few: self.fleet.borrow().reports_to_few(),
             }
@@ -229,7 +240,7 @@
 
     fn stop(&self) {
         let now = usher_clock::now();
-        let span = LINGER.min(self.settings.grace - END_MARGIN);
+        let span = DRAIN_LIMIT.min(self.settings.grace - END_MARGIN);
         self.shared.path().stop();
         self.stopping.set(Some(now + span));
         self.report(now);
@@ -255,8 +266,13 @@
                     fleet.learn(now, listed.node);
                 }
             }
-            let alone = self.fleet.borrow().present(usher_clock::now()).is_empty();
-            tokio::time::sleep(if alone { SEARCH } else { RELIST }).await;
+            let isolated = self.fleet.borrow().present(usher_clock::now()).is_empty();
+            tokio::time::sleep(if isolated {
+                SEARCH_INTERVAL
+            } else {
+                RELIST_INTERVAL
+            })
+            .await;
         }
     }
 }
--- a/crates/node/src/agent/traffic.rs
+++ b/crates/node/src/agent/traffic.rs
@@ -10,19 +10,19 @@
 use crate::metrics::{Direction, Metrics};
 use crate::socket::{receive_all, send};
 
-/// What both traffic threads and the control thread of an agent use.
+/// State that the traffic threads and the control thread of an agent share.
 #[derive(Debug, Clone)]
 pub(crate) struct Shared {
     pub(crate) path: Arc<Mutex<AgentPath>>,
     /// Opening packets that wait for a slot. Locked after `path`.
     pub(crate) held: Arc<Mutex<IndexMap<FlowKey, Vec<u8>>>>,
-    /// Packets to callers and other nodes.
-    pub(crate) outside: Arc<UdpSocket>,
+    /// Packets from nodes, and to callers and other nodes.
+    pub(crate) network_socket: Arc<UdpSocket>,
     /// Packets to and from the backend server.
-    pub(crate) inside: Arc<UdpSocket>,
+    pub(crate) backend_socket: Arc<UdpSocket>,
     pub(crate) node: NodeId,
     pub(crate) backend: SocketAddrV4,
-    /// Port of callers and nodes.
+    /// Port that callers and nodes use.
     pub(crate) port: u16,
     pub(crate) metrics: Arc<Metrics>,
 }
@@ -32,10 +32,10 @@
         self.path.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes packets of callers for ever.
+    /// Handles packets of callers until the process exits.
     pub(crate) fn run_inbound(&self) {
         let mut buffer = [0; DATAGRAM_BYTES];
-        receive_all(&self.outside, &mut buffer, |bytes| {
+        receive_all(&self.network_socket, &mut buffer, |bytes| {
             let Some((trip, packet)) = read_trip(bytes) else {
                 event::MALFORMED.log(&[("datagram", &"not from a node")]);
                 return;
@@ -44,17 +44,17 @@
                 Ok(head) => {
                     self.metrics.packet(Direction::Inbound, packet.len());
                     let decision = self.decide(packet, &head, &trip);
-                    self.carry_out(packet, &head, trip.hop, &decision);
+                    self.execute(packet, &head, trip.hop, &decision);
                 }
                 Err(fault) => event::MALFORMED.log(&[("fault", &fault)]),
             }
         });
     }
 
-    /// Takes packets of the backend server for ever.
+    /// Handles packets of the backend server until the process exits.
     pub(crate) fn run_outbound(&self) {
         let mut buffer = [0; DATAGRAM_BYTES];
-        receive_all(&self.inside, &mut buffer, |packet| {
+        receive_all(&self.backend_socket, &mut buffer, |packet| {
             let head = match head(packet) {
                 Ok(head) => head,
                 Err(fault) => {
@@ -70,18 +70,18 @@
                         self.metrics.work(work);
                     }
                     let caller = SocketAddrV4::new(*head.target.ip(), self.port);
-                    send(&self.outside, packet, caller);
+                    send(&self.network_socket, packet, caller);
                 }
                 Outbound::Inward(decision) => {
                     clear_returned(packet);
-                    self.carry_out(packet, &head, 0, &decision);
+                    self.execute(packet, &head, 0, &decision);
                 }
             }
             self.release();
         });
     }
 
-    /// Lets flows in that have waited for a slot, and refuses those whose callers give up.
+    /// Delivers waiting flows that got a slot, and refuses those whose callers give up.
     pub(crate) fn release(&self) {
         let mut ready = Vec::new();
         {
@@ -94,7 +94,7 @@
         }
         for (mut packet, inbound) in ready {
             match head(&packet) {
-                Ok(head) => self.carry_out(&mut packet, &head, 0, &inbound),
+                Ok(head) => self.execute(&mut packet, &head, 0, &inbound),
                 Err(fault) => event::MALFORMED.log(&[("fault", &fault)]),
             }
         }
@@ -104,7 +104,7 @@
         self.held.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    // The packet is put aside before another thread can release its flow.
+    // Stores a held packet under the lock of `path`, before another thread can release its flow.
     fn decide(&self, packet: &[u8], head: &Head, trip: &Trip) -> Inbound {
         let mut path = self.path();
         let decision = path.on_packet(usher_clock::now(), head, trip);
@@ -117,15 +117,15 @@
     /// Ends a flow whose backend server is known to be gone.
     pub(crate) fn reset(&self, flow: &FlowKey, received: u32) {
         let caller = SocketAddrV4::new(*flow.caller.ip(), self.port);
-        send(&self.outside, &reset(flow, received), caller);
+        send(&self.network_socket, &reset(flow, received), caller);
     }
 
-    fn carry_out(&self, packet: &mut [u8], head: &Head, hop: u8, decision: &Inbound) {
+    fn execute(&self, packet: &mut [u8], head: &Head, hop: u8, decision: &Inbound) {
         let flow = head.inbound();
         match decision.step {
             Step::Deliver { token, opening } => {
                 set_token(packet, token);
-                send(&self.inside, packet, self.backend);
+                send(&self.backend_socket, packet, self.backend);
                 if opening {
                     self.metrics.hops(hop);
                     event::FLOW_ACCEPTED.log(&[
@@ -137,7 +137,7 @@
             }
             Step::Forward { to, trip, reason } => {
                 self.forward(packet, to, &trip);
-                event::FLOW_PASSED.log(&[
+                event::FLOW_FORWARDED.log(&[
                     ("flow", &flow),
                     ("to", &to),
                     ("hop", &trip.hop),
@@ -159,7 +159,7 @@
                 origin,
                 received,
             } => {
-                self.hint(origin, &Hint::Missing { flow, received });
+                self.send_hint(origin, &Hint::Missing { flow, received });
                 event::FLOW_MISSING.log(&[("flow", &flow), ("balancer", &origin)]);
             }
             Step::Hold => event::FLOW_HELD.log(&[("flow", &flow), ("copy", &head.acknowledged)]),
@@ -167,7 +167,7 @@
         }
         if let Some(origin) = decision.tell {
             let node = self.node;
-            self.hint(origin, &Hint::Held { flow, node });
+            self.send_hint(origin, &Hint::Held { flow, node });
         }
     }
 
@@ -175,11 +175,11 @@
         let mut out = [0; DATAGRAM_BYTES];
         let length = write_trip(&mut out, trip, packet);
         let to = SocketAddrV4::new(to.address(), self.port);
-        send(&self.outside, &out[..length], to);
+        send(&self.network_socket, &out[..length], to);
     }
 
-    fn hint(&self, to: NodeId, hint: &Hint) {
+    fn send_hint(&self, to: NodeId, hint: &Hint) {
         let to = SocketAddrV4::new(to.address(), self.port);
-        send(&self.outside, &write_hint(hint), to);
+        send(&self.network_socket, &write_hint(hint), to);
     }
 }
--- a/crates/node/src/balancer/control.rs
+++ b/crates/node/src/balancer/control.rs
@@ -24,19 +24,20 @@
 use crate::socket::open_udp;
 use crate::{NodeError, Settings, event};
 
-/// Path under which balancers give each other the configuration.
+/// HTTP path at which balancers serve the configuration to each other.
 pub(crate) const CONFIGURATION_PATH: &str = "/configuration";
 
-// Balancers greet each other and the agents; the version in a greeting bounds how long a balancer
-// that the store does not serve stays behind.
-const GREET: Span = Span::from_millis(300);
-// Reports that agents sent here are relayed at the pace of the reports.
-const RELAY: Duration = Duration::from_millis(100);
+// How often a balancer sends hello messages to balancers and agents. Their version number bounds
+// how long a balancer that the store does not serve stays behind.
+const HELLO_INTERVAL: Span = Span::from_millis(300);
+// How often reports of agents are relayed: as often as agents send them.
+const RELAY_INTERVAL: Duration = Duration::from_millis(100);
 // Reports in one datagram; each takes about 50 bytes.
-const DIGEST: usize = 24;
-// The platform asks twice a second and turns away after two misses; packets on the way follow.
-const TURN_AWAY: Span = Span::from_millis(2_500);
-// Part of the grace time that is kept for ending.
+const DIGEST_REPORTS: usize = 24;
+// The platform checks readiness twice a second and stops sending traffic after two failed checks;
+// the rest of this time is for packets in transit.
+const DRAIN_TIME: Span = Span::from_millis(2_500);
+// Part of the grace time that is left for the process to exit.
 const END_MARGIN: Span = Span::from_millis(1_000);
 
 /// Runs a balancer until it is stopped.
@@ -65,11 +66,11 @@
             state.borrow_mut().fleet.learn(usher_clock::now(), *seed);
         }
     }
-    let again = Rc::new(Notify::new());
+    let resync = Rc::new(Notify::new());
     spawn_local(feed::follow(
         Rc::clone(&state),
         settings.store,
-        Rc::clone(&again),
+        Rc::clone(&resync),
     ));
     spawn_local(feed::find_balancers(Rc::clone(&state)));
     event::STARTED.log(&[
@@ -80,10 +81,10 @@
     let control = Control {
         state,
         peers,
-        again,
+        resync,
         fetching: Rc::new(Cell::new(false)),
     };
-    control.serve(&mut signals, file).await;
+    control.event_loop(&mut signals, file).await;
     event::STOPPED.log(&[]);
     Ok(())
 }
@@ -119,16 +120,16 @@
 struct Control {
     state: Rc<RefCell<State>>,
     peers: Peers,
-    again: Rc<Notify>,
+    resync: Rc<Notify>,
     fetching: Rc<Cell<bool>>,
 }
 
 impl Control {
-    async fn serve(&self, signals: &mut Signals, file: &Path) {
-        let mut ticks = interval(RELAY);
-        let mut greeted = None;
+    async fn event_loop(&self, signals: &mut Signals, file: &Path) {
+        let mut ticks = interval(RELAY_INTERVAL);
+        let mut last_hello = None;
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut suspends = SuspendWatch::new();
+        let mut suspend_watch = SuspendWatch::new();
         let mut end: Option<Instant> = None;
         loop {
             let ending = async {
@@ -142,9 +143,9 @@
                 _ = ticks.tick() => {
                     let now = usher_clock::now();
                     self.relay(now);
-                    if greeted.is_none_or(|greeted| now - greeted >= GREET) {
-                        greeted = Some(now);
-                        self.on_tick(now, &mut suspends);
+                    if last_hello.is_none_or(|last_hello| now - last_hello >= HELLO_INTERVAL) {
+                        last_hello = Some(now);
+                        self.on_tick(now, &mut suspend_watch);
                     }
                 }
                 signal = signals.next() => match signal {
@@ -161,16 +162,16 @@
         let now = usher_clock::now();
         let mut state = self.state.borrow_mut();
         match message {
-            PeerMessage::Report(report) => state.hear_agent(now, node, report),
-            PeerMessage::Digest(digest) => state.hear_digest(now, node, digest),
+            PeerMessage::Report(report) => state.on_report(now, node, report),
+            PeerMessage::Digest(digest) => state.on_digest(now, node, digest),
             PeerMessage::Hello(hello) => {
-                let new = state.hear_balancer(now, node, hello);
+                let new = state.on_hello(now, node, hello);
                 let agents = state.unknown_agents(now, hello);
                 if new {
-                    self.peers.send([&node], &state.hello_balancer(now, false));
+                    self.peers.send([&node], &state.balancer_hello(now, false));
                 }
                 if !agents.is_empty() {
-                    self.peers.send(&agents, &state.hello_agent(now));
+                    self.peers.send(&agents, &state.agent_hello(now));
                 }
             }
         }
@@ -179,22 +180,22 @@
     fn relay(&self, now: Time) {
         let digests = self.state.borrow_mut().digests(now);
         for Relayed { to, reports } in digests {
-            for part in reports.chunks(DIGEST) {
+            for part in reports.chunks(DIGEST_REPORTS) {
                 self.peers.send(&to, &PeerMessage::Digest(part.to_vec()));
             }
         }
     }
 
-    fn on_tick(&self, now: Time, suspends: &mut SuspendWatch) {
-        if let Some(span) = suspends.check() {
+    fn on_tick(&self, now: Time, suspend_watch: &mut SuspendWatch) {
+        if let Some(span) = suspend_watch.check() {
             event::RESUMED.log(&[("for", &span)]);
-            self.again.notify_one();
+            self.resync.notify_one();
         }
         let mut state = self.state.borrow_mut();
         state.expire(now);
-        self.greet(now, &mut state);
-        let agents = state.greeted_agents(now);
-        self.peers.send(&agents, &state.hello_agent(now));
+        self.send_hellos(now, &mut state);
+        let agents = state.agent_receivers(now);
+        self.peers.send(&agents, &state.agent_hello(now));
         let version = state.version();
         let port = state.settings.peer_port;
         if let Some((from, _)) = state.fleet.ahead(now, version)
@@ -208,28 +209,28 @@
         }
     }
 
-    fn greet(&self, now: Time, state: &mut State) {
-        let greeted = state.greeted_balancers(now);
+    fn send_hellos(&self, now: Time, state: &mut State) {
+        let receivers = state.balancer_receivers(now);
         for ask in [true, false] {
-            let group: Vec<NodeId> = greeted
+            let group: Vec<NodeId> = receivers
                 .iter()
                 .filter(|(_, asked)| *asked == ask)
                 .map(|(node, _)| *node)
                 .collect();
             if !group.is_empty() {
-                self.peers.send(&group, &state.hello_balancer(now, ask));
+                self.peers.send(&group, &state.balancer_hello(now, ask));
             }
         }
     }
 
-    // Turns traffic away; returns when the process ends.
+    // Marks the balancer as not ready; returns the time at which the process exits.
     fn stop(&self) -> Instant {
         let now = usher_clock::now();
         let mut state = self.state.borrow_mut();
         state.stopping = true;
-        let span = TURN_AWAY.min(state.settings.grace - END_MARGIN);
+        let span = DRAIN_TIME.min(state.settings.grace - END_MARGIN);
         event::STOPPING.log(&[("after", &span)]);
-        self.greet(now, &mut state);
+        self.send_hellos(now, &mut state);
         Instant::now() + Duration::from_micros(span.as_micros())
     }
 }
--- a/crates/node/src/balancer/feed.rs
+++ b/crates/node/src/balancer/feed.rs
@@ -16,29 +16,29 @@
 use crate::event;
 use crate::http::Client;
 
-// A call that waits for changes. Keep-alive probes find a connection that has gone silent sooner.
-const WAIT: Span = Span::from_secs(10);
-// An answer takes 4 ms; a store that is 50 times slower still serves.
-const CALL: Span = Span::from_millis(1_000);
-// The list of balancers is read again at this pace, to find those that partitions hid.
-const RELIST: Duration = Duration::from_secs(15);
+// Longest wait of a call for changes. Keep-alive probes detect a dead connection sooner.
+const WATCH_WAIT: Span = Span::from_secs(10);
+// The store answers in 4 ms; one that is 50 times slower is still usable.
+const CALL_TIMEOUT: Span = Span::from_millis(1_000);
+// How often the list of balancers is read again, to find those that a partition hid.
+const RELIST_INTERVAL: Duration = Duration::from_secs(15);
 const OK: u16 = 200;
 const GONE: u16 = 410;
 
 /// Follows the operator's configuration in the store.
-pub(crate) async fn follow(state: Rc<RefCell<State>>, store: SocketAddrV4, again: Rc<Notify>) {
+pub(crate) async fn follow(state: Rc<RefCell<State>>, store: SocketAddrV4, resync: Rc<Notify>) {
     let metrics = Arc::clone(&state.borrow().metrics);
     let mut client = Client::new(store, Arc::clone(&metrics));
     let mut backoff = Backoff::new();
     let mut since: Option<Version> = None;
-    let mut served = true;
+    let mut available = true;
     loop {
         let outcome = match since {
             None => read(&state, &mut client).await,
             Some(version) => tokio::select! {
                 outcome = watch(&state, &mut client, version) => outcome,
-                () = again.notified() => {
-                    // The call in flight is dropped, and its connection with it.
+                () = resync.notified() => {
+                    // Drops the call in flight together with its connection.
                     client = Client::new(store, Arc::clone(&metrics));
                     Ok(None)
                 }
@@ -48,17 +48,17 @@
             Ok(next) => {
                 since = next;
                 backoff.reset();
-                if !served {
-                    served = true;
-                    event::STORE_BACK.log(&[("version", &state.borrow().version())]);
+                if !available {
+                    available = true;
+                    event::STORE_UP.log(&[("version", &state.borrow().version())]);
                 }
                 continue;
             }
             Err(fault) => fault,
         };
-        if served {
-            served = false;
-            event::STORE_LOST.log(&[
+        if available {
+            available = false;
+            event::STORE_DOWN.log(&[
                 ("call", &"configuration"),
                 ("fault", &fault),
                 ("version", &state.borrow().version()),
@@ -72,7 +72,7 @@
 async fn read(state: &RefCell<State>, client: &mut Client) -> Result<Option<Version>, String> {
     let request = Request::configuration();
     let reply = client
-        .call("read", &request, CALL)
+        .call("read", &request, CALL_TIMEOUT)
         .await
         .map_err(|fault| fault.to_string())?;
     if reply.status != OK {
@@ -87,19 +87,19 @@
     Ok(Some(at))
 }
 
-// Waits for changes; returns the version to watch from, or none if all has to be read again.
+// Waits for changes; returns the version to watch from, or `None` to read all again.
 async fn watch(
     state: &RefCell<State>,
     client: &mut Client,
     since: Version,
 ) -> Result<Option<Version>, String> {
-    let request = Request::watch_configuration(since, WAIT);
+    let request = Request::watch_configuration(since, WATCH_WAIT);
     let reply = client
-        .call("watch", &request, WAIT + CALL)
+        .call("watch", &request, WATCH_WAIT + CALL_TIMEOUT)
         .await
         .map_err(|fault| fault.to_string())?;
     if reply.status == GONE {
-        event::HISTORY_GONE.log(&[("since", &since)]);
+        event::HISTORY_DROPPED.log(&[("since", &since)]);
         return Ok(None);
     }
     if reply.status != OK {
@@ -115,7 +115,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Offered {
+struct Fetched {
     version: Version,
     document: Value,
 }
@@ -130,26 +130,26 @@
     };
     let metrics = Arc::clone(&state.borrow().metrics);
     let reply = Client::new(address, metrics)
-        .call("fetch", &request, CALL)
+        .call("fetch", &request, CALL_TIMEOUT)
         .await;
-    let offered = match reply {
+    let fetched = match reply {
         Ok(reply) if reply.status == OK => {
-            serde_json::from_slice::<Offered>(&reply.body).map_err(|fault| fault.to_string())
+            serde_json::from_slice::<Fetched>(&reply.body).map_err(|fault| fault.to_string())
         }
         Ok(reply) => Err(format!("status {}", reply.status)),
         Err(fault) => Err(fault.to_string()),
     };
-    match offered {
-        Ok(offered) => {
+    match fetched {
+        Ok(fetched) => {
             state
                 .borrow_mut()
-                .adopt(offered.version, offered.document, "balancer");
+                .adopt(fetched.version, fetched.document, "balancer");
         }
         Err(fault) => event::CONFIG_FETCH_FAILED.log(&[("balancer", &from), ("fault", &fault)]),
     }
 }
 
-/// Enters the balancer into the store and learns of the others.
+/// Registers this balancer in the store and finds the others there.
 pub(crate) async fn find_balancers(state: Rc<RefCell<State>>) {
     let (store, name, node) = {
         let state = state.borrow();
@@ -162,25 +162,29 @@
     let mut departures = Departures::default();
     loop {
         if let Some(listed) = list_balancers(&mut client).await {
-            let gone = learn(&state, &mut departures, &listed);
-            for entry in listed.iter().filter(|entry| gone.contains(&entry.node)) {
+            let departed = add_listed(&state, &mut departures, &listed);
+            for entry in listed.iter().filter(|entry| departed.contains(&entry.node)) {
                 remove(&mut client, entry).await;
             }
         }
-        tokio::time::sleep(RELIST).await;
+        tokio::time::sleep(RELIST_INTERVAL).await;
     }
 }
 
-// Learns of the balancers in the list; returns those whose entries are to be removed.
-fn learn(state: &RefCell<State>, departures: &mut Departures, listed: &[Listed]) -> Vec<NodeId> {
+// Adds listed balancers to the fleet; returns those whose entries are to be removed.
+fn add_listed(
+    state: &RefCell<State>,
+    departures: &mut Departures,
+    listed: &[Listed],
+) -> Vec<NodeId> {
     let now = usher_clock::now();
     let mut state = state.borrow_mut();
-    let own = state.settings.node;
-    for entry in listed.iter().filter(|entry| entry.node != own) {
+    let local = state.settings.node;
+    for entry in listed.iter().filter(|entry| entry.node != local) {
         state.fleet.learn(now, entry.node);
     }
     let (fleet, centre) = (&state.fleet, &state.settings.centre);
     let nodes = listed.iter().map(|entry| entry.node);
     let watched: Vec<NodeId> = nodes.filter(|node| fleet.watches(*node, centre)).collect();
-    departures.observe(now, own, &watched, &fleet.watchers(now, centre))
+    departures.observe(now, local, &watched, &fleet.watchers(now, centre))
 }
--- a/crates/node/src/balancer/state.rs
+++ b/crates/node/src/balancer/state.rs
@@ -12,14 +12,14 @@
 use crate::metrics::Metrics;
 use crate::{Settings, event};
 
-// A greeting fits one datagram: four bytes each.
-const NAMED_BALANCERS: usize = 64;
-const NAMED_AGENTS: usize = 256;
-// Without any host after this time, the balancer is ready all the same: it refuses at once what
-// nobody can serve.
-const HOSTLESS: Span = Span::from_secs(3);
+// Nodes listed in one hello message, four bytes each, so that it fits one datagram.
+const HELLO_BALANCERS: usize = 64;
+const HELLO_AGENTS: usize = 256;
+// Without a serving host, a balancer is ready after this time anyway: it refuses at once what no
+// host can serve.
+const HOST_WAIT: Span = Span::from_secs(3);
 
-/// Control state of a balancer; only its control thread has it.
+/// Control state of a balancer, owned by its control thread.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) settings: Settings,
@@ -34,8 +34,8 @@
     view: Arc<ArcSwap<View>>,
     ready: bool,
     exchange: Exchange,
-    /// Where the next greeting begins to name balancers and agents.
-    turn: usize,
+    /// Where the lists of nodes in the next hello message start.
+    offset: usize,
 }
 
 impl State {
@@ -55,20 +55,20 @@
             view,
             ready: false,
             exchange,
-            turn: 0,
+            offset: 0,
         }
     }
 
-    /// Takes the operator's document as stored at a version.
+    /// Applies the operator's document as stored at a version, if that is newer.
     pub(crate) fn adopt(&mut self, version: Version, spec: Value, source: &str) {
         if version <= self.in_force.version() {
             return;
         }
         match configuration(version, &spec) {
-            Ok(offered) => {
-                let (label, routes) = (offered.label, offered.routes.len());
-                let ignored = offered.ignored;
-                self.in_force.adopt(offered);
+            Ok(parsed) => {
+                let (label, routes) = (parsed.label, parsed.routes.len());
+                let ignored = parsed.ignored;
+                self.in_force.adopt(parsed);
                 self.document = spec;
                 self.publish();
                 event::CONFIGURED.log(&[
@@ -87,27 +87,27 @@
         self.in_force.version()
     }
 
-    /// The document in force, for another balancer.
+    /// The document in force as JSON, for another balancer.
     pub(crate) fn document(&self) -> String {
         let document = &self.document;
         serde_json::json!({ "version": self.version(), "document": document }).to_string()
     }
 
-    pub(crate) fn hear_agent(&mut self, now: Time, node: NodeId, report: &Report) {
+    pub(crate) fn on_report(&mut self, now: Time, node: NodeId, report: &Report) {
         let known = self.directory.state(now, node);
         let changed = self.directory.hear_direct(now, node, report);
         self.exchange.hear_agent(now, node);
-        self.tell_host(changed, known, node, report);
+        self.publish_change(changed, known, node, report);
     }
 
-    /// Takes reports that a balancer relays.
-    pub(crate) fn hear_digest(&mut self, now: Time, from: NodeId, digest: &[(NodeId, Report)]) {
+    /// Handles reports that a balancer relays.
+    pub(crate) fn on_digest(&mut self, now: Time, from: NodeId, digest: &[(NodeId, Report)]) {
         let centre = self.fleet.centre(from).cloned();
         for (node, report) in digest {
             let known = self.directory.state(now, *node);
             let directory = &mut self.directory;
             let changed = directory.hear_relayed(now, *node, report, centre.as_ref());
-            self.tell_host(changed, known, *node, report);
+            self.publish_change(changed, known, *node, report);
         }
     }
 
@@ -117,7 +117,7 @@
         self.exchange.digests(now, &self.fleet, directory)
     }
 
-    fn tell_host(
+    fn publish_change(
         &self,
         changed: bool,
         known: Option<(HostState, Span)>,
@@ -142,8 +142,8 @@
         }
     }
 
-    /// Takes a balancer's greeting; `true` if it should be greeted at once.
-    pub(crate) fn hear_balancer(&mut self, now: Time, node: NodeId, hello: &Hello) -> bool {
+    /// Handles a balancer's hello message; `true` if it should be answered at once.
+    pub(crate) fn on_hello(&mut self, now: Time, node: NodeId, hello: &Hello) -> bool {
         for other in &hello.balancers {
             if *other != self.settings.node {
                 self.fleet.learn(now, *other);
@@ -160,54 +160,55 @@
         new
     }
 
-    /// Agents that a balancer named and this one does not know.
+    /// Agents listed in a hello message that this balancer does not know.
     pub(crate) fn unknown_agents(&self, now: Time, hello: &Hello) -> Vec<NodeId> {
-        let named = hello.agents.iter().copied();
-        named
+        let listed = hello.agents.iter().copied();
+        listed
             .filter(|agent| self.directory.state(now, *agent).is_none())
             .collect()
     }
 
-    /// Agents that are greeted at `now`: those that report here, and those that may come to.
-    pub(crate) fn greeted_agents(&mut self, now: Time) -> Vec<NodeId> {
+    /// Agents that get a hello message at `now`: those that report here or may start to.
+    pub(crate) fn agent_receivers(&mut self, now: Time) -> Vec<NodeId> {
         self.exchange.agents(now, &self.fleet, &self.directory)
     }
 
-    /// Balancers that are greeted at `now`, and whether each is asked to greet this one.
-    pub(crate) fn greeted_balancers(&mut self, now: Time) -> Vec<(NodeId, bool)> {
+    /// Balancers that get a hello message at `now`, and whether it asks for one back.
+    pub(crate) fn balancer_receivers(&mut self, now: Time) -> Vec<(NodeId, bool)> {
         self.exchange.balancers(now, &mut self.fleet)
     }
 
-    /// The greeting to other balancers.
-    pub(crate) fn hello_balancer(&mut self, now: Time, ask: bool) -> PeerMessage {
+    /// The hello message to other balancers.
+    pub(crate) fn balancer_hello(&mut self, now: Time, ask: bool) -> PeerMessage {
         let mut hello = self.hello(now);
         hello.ask = ask;
         if !self.fleet.is_large() {
-            hello.agents = some_of(self.directory.agents().collect(), NAMED_AGENTS, self.turn);
+            hello.agents =
+                rotated_subset(self.directory.agents().collect(), HELLO_AGENTS, self.offset);
         }
         PeerMessage::Hello(hello)
     }
 
-    /// The greeting to agents.
-    pub(crate) fn hello_agent(&mut self, now: Time) -> PeerMessage {
+    /// The hello message to agents.
+    pub(crate) fn agent_hello(&mut self, now: Time) -> PeerMessage {
         PeerMessage::Hello(self.hello(now))
     }
 
     fn hello(&mut self, now: Time) -> Hello {
-        self.turn = self.turn.wrapping_add(NAMED_BALANCERS);
+        self.offset = self.offset.wrapping_add(HELLO_BALANCERS);
         Hello {
             epoch: self.epoch,
             version: self.version(),
             leaving: self.stopping,
             centre: self.settings.centre.clone(),
             strength: self.settings.strength,
-            balancers: some_of(self.fleet.present(now), NAMED_BALANCERS, self.turn),
+            balancers: rotated_subset(self.fleet.present(now), HELLO_BALANCERS, self.offset),
             agents: Vec::new(),
             ask: false,
         }
     }
 
-    /// Forgets who is gone.
+    /// Removes hosts and balancers that have been silent for too long.
     pub(crate) fn expire(&mut self, now: Time) {
         if self.directory.expire(now) {
             event::HOSTS_FORGOTTEN.log(&[]);
@@ -228,9 +229,9 @@
         let host = states.any(|(state, _)| state == HostState::Serving);
         let configured = self.version() > Version::default();
         let settings = &self.settings;
-        let (own, strength) = (settings.node, settings.strength);
-        let standby = self.fleet.stands_by(now, own, strength, &settings.centre);
-        let hosts = host || now - self.started > HOSTLESS;
+        let (local, strength) = (settings.node, settings.strength);
+        let standby = self.fleet.stands_by(now, local, strength, &settings.centre);
+        let hosts = host || now - self.started > HOST_WAIT;
         let ready = configured && !self.stopping && hosts && !standby;
         if ready != self.ready {
             self.ready = ready;
@@ -248,7 +249,7 @@
     /// All metrics as text.
     pub(crate) fn metrics_text(&self) -> String {
         let hosts = self.directory.agents().count();
-        self.metrics.balancer(self.version(), hosts);
+        self.metrics.set_balancer(self.version(), hosts);
         self.metrics.text()
     }
 
@@ -259,10 +260,10 @@
     }
 }
 
-// At most `count` of the nodes, others in each turn.
-fn some_of(mut nodes: Vec<NodeId>, count: usize, turn: usize) -> Vec<NodeId> {
+// At most `count` of the nodes, from `offset` on; successive hello messages list different ones.
+fn rotated_subset(mut nodes: Vec<NodeId>, count: usize, offset: usize) -> Vec<NodeId> {
     if nodes.len() > count {
-        let first = turn % nodes.len();
+        let first = offset % nodes.len();
         nodes.rotate_left(first);
         nodes.truncate(count);
     }
--- a/crates/node/src/balancer/traffic.rs
+++ b/crates/node/src/balancer/traffic.rs
@@ -10,7 +10,7 @@
 use crate::metrics::{Direction, Metrics};
 use crate::socket::{receive_all, send};
 
-/// Forwards packets for ever.
+/// Forwards packets until the process exits.
 pub(crate) fn run(
     node: NodeId,
     port: u16,
@@ -46,7 +46,7 @@
         if bytes.len() == HINT_BYTES {
             let hint = read_hint(bytes);
             if let Some(verdict) = hint.and_then(|hint| self.path.on_hint(now, &hint, view)) {
-                self.carry_out(bytes, None, verdict, view);
+                self.execute(bytes, None, verdict, view);
             }
             return;
         }
@@ -54,20 +54,20 @@
             Ok(head) => {
                 self.metrics.packet(Direction::Inbound, bytes.len());
                 let verdict = self.path.on_packet(now, &head, view);
-                self.carry_out(bytes, Some(&head), verdict, view);
+                self.execute(bytes, Some(&head), verdict, view);
             }
             Err(fault) => event::MALFORMED.log(&[("fault", &fault)]),
         }
     }
 
-    fn carry_out(&mut self, packet: &[u8], head: Option<&Head>, verdict: Verdict, view: &View) {
+    fn execute(&mut self, packet: &[u8], head: Option<&Head>, verdict: Verdict, view: &View) {
         match verdict {
             Verdict::Send { to, trip, how } => {
                 let length = write_trip(&mut self.out, &trip, packet);
                 let to = SocketAddrV4::new(to.address(), self.port);
                 send(self.socket, &self.out[..length], to);
                 if let Some(head) = head {
-                    self.tell_sent(head, to, how, view);
+                    self.record_sent(head, to, how, view);
                 }
             }
             Verdict::Reset {
@@ -94,7 +94,7 @@
         }
     }
 
-    fn tell_sent(&self, head: &Head, to: SocketAddrV4, how: Found, view: &View) {
+    fn record_sent(&self, head: &Head, to: SocketAddrV4, how: Found, view: &View) {
         let (flow, version) = (head.inbound(), view.version());
         match how {
             Found::Cached => {}
--- a/crates/node/src/codec.rs
+++ b/crates/node/src/codec.rs
@@ -4,38 +4,38 @@
 use usher_forwarding::{Best, Candidates, FlowKey, Hello, Hint, NodeId, Report, ServiceKey, Trip};
 use usher_types::Span;
 
-/// Longest datagram: a packet of 1,231 bytes and the longest trip.
+/// Buffer size for the longest datagram: a packet of 1,231 bytes and the longest trip.
 pub(crate) const DATAGRAM_BYTES: usize = 2_048;
 
-/// Length of a hint. A packet of a caller is at least 31 bytes long, so both share a port.
+/// Length of a hint. Packets of callers on the same port have at least 31 bytes.
 pub(crate) const HINT_BYTES: usize = 21;
 
-const TRIP: u8 = 0xd1;
-const HELD: u8 = 0xd2;
-const MISSING: u8 = 0xd3;
-const LAST: u8 = 1;
-// The rank shares a byte with the flag.
+const TRIP_KIND: u8 = 0xd1;
+const HELD_KIND: u8 = 0xd2;
+const MISSING_KIND: u8 = 0xd3;
+const LAST_FLAG: u8 = 1;
+// The rank has seven bits of a byte; the eighth is `LAST_FLAG`.
 const LOWEST_RANK: u8 = 127;
 const TRIP_BYTES: usize = 28;
-const NO_WAIT: u32 = u32::MAX;
+const NO_BEST: u32 = u32::MAX;
 
-/// A message between nodes that is not on the way of a packet.
+/// A message between the control threads of nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum PeerMessage {
     /// An agent's report.
     Report(Report),
-    /// A balancer's greeting.
+    /// A balancer's hello message.
     Hello(Hello),
     /// Reports that a balancer relays.
     Digest(Vec<(NodeId, Report)>),
 }
 
-/// Writes a trip and its packet; returns the length.
+/// Encodes a trip and then its packet; returns the length.
 pub(crate) fn write_trip(out: &mut [u8; DATAGRAM_BYTES], trip: &Trip, packet: &[u8]) -> usize {
     let best = trip.best.map_or(NodeId::NONE, |best| best.node);
-    let wait = trip.best.map_or(NO_WAIT, |best| millis(best.wait));
+    let wait = trip.best.map_or(NO_BEST, |best| millis(best.wait));
     let candidates = trip.candidates.as_slice();
-    out[0] = TRIP;
+    out[0] = TRIP_KIND;
     out[1] = trip.hop;
     out[2] = candidates.len() as u8;
     out[3] = (trip.rank.min(LOWEST_RANK) << 1) | u8::from(trip.last);
@@ -44,20 +44,20 @@
     out[16..20].copy_from_slice(&best.address().octets());
     out[20..24].copy_from_slice(&wait.to_be_bytes());
     out[24..28].copy_from_slice(&millis(trip.budget).to_be_bytes());
-    let mut at = TRIP_BYTES;
+    let mut offset = TRIP_BYTES;
     for node in candidates {
-        out[at..at + 4].copy_from_slice(&node.address().octets());
-        at += 4;
+        out[offset..offset + 4].copy_from_slice(&node.address().octets());
+        offset += 4;
     }
-    let length = packet.len().min(out.len() - at);
-    out[at..at + length].copy_from_slice(&packet[..length]);
-    at + length
+    let length = packet.len().min(out.len() - offset);
+    out[offset..offset + length].copy_from_slice(&packet[..length]);
+    offset + length
 }
 
-/// Reads a trip; the packet follows it.
+/// Decodes a trip; returns it with the packet that follows.
 pub(crate) fn read_trip(bytes: &mut [u8]) -> Option<(Trip, &mut [u8])> {
     let (head, rest) = bytes.split_at_mut_checked(TRIP_BYTES)?;
-    if head[0] != TRIP || usize::from(head[2]) > Candidates::MAX {
+    if head[0] != TRIP_KIND || usize::from(head[2]) > Candidates::MAX {
         return None;
     }
     let (nodes, packet) = rest.split_at_mut_checked(usize::from(head[2]) * 4)?;
@@ -75,20 +75,20 @@
         origin: node_at(head, 12)?,
         candidates,
         hop: head[1],
-        best: (wait != NO_WAIT).then_some(best),
+        best: (wait != NO_BEST).then_some(best),
         budget: Span::from_millis(u64::from(number_at(head, 24)?)),
         rank: head[3] >> 1,
-        last: head[3] & LAST != 0,
+        last: head[3] & LAST_FLAG != 0,
     };
     Some((trip, packet))
 }
 
-/// Writes a hint.
+/// Encodes a hint.
 pub(crate) fn write_hint(hint: &Hint) -> [u8; HINT_BYTES] {
     let mut out = [0; HINT_BYTES];
     let (kind, flow, value) = match hint {
-        Hint::Held { flow, node } => (HELD, flow, u32::from(node.address())),
-        Hint::Missing { flow, received } => (MISSING, flow, *received),
+        Hint::Held { flow, node } => (HELD_KIND, flow, u32::from(node.address())),
+        Hint::Missing { flow, received } => (MISSING_KIND, flow, *received),
     };
     out[0] = kind;
     out[1..5].copy_from_slice(&flow.caller.ip().octets());
@@ -99,29 +99,29 @@
     out
 }
 
-/// Reads a hint.
+/// Decodes a hint.
 pub(crate) fn read_hint(bytes: &[u8]) -> Option<Hint> {
     if bytes.len() != HINT_BYTES {
         return None;
     }
-    let end = |at: usize| {
-        let port = u16::from_be_bytes(*bytes.get(at + 4..at + 6)?.first_chunk()?);
+    let endpoint = |offset: usize| {
+        let port = u16::from_be_bytes(*bytes.get(offset + 4..offset + 6)?.first_chunk()?);
         Some(SocketAddrV4::new(
-            Ipv4Addr::from(number_at(bytes, at)?),
+            Ipv4Addr::from(number_at(bytes, offset)?),
             port,
         ))
     };
     let flow = FlowKey {
-        caller: end(1)?,
-        address: end(7)?,
+        caller: endpoint(1)?,
+        address: endpoint(7)?,
     };
     let value = number_at(bytes, 13)?;
     match bytes[0] {
-        HELD => Some(Hint::Held {
+        HELD_KIND => Some(Hint::Held {
             flow,
             node: NodeId::new(Ipv4Addr::from(value)),
         }),
-        MISSING => Some(Hint::Missing {
+        MISSING_KIND => Some(Hint::Missing {
             flow,
             received: value,
         }),
@@ -129,25 +129,25 @@
     }
 }
 
-/// Writes a message between nodes.
+/// Encodes a message between nodes.
 pub(crate) fn write_message(message: &PeerMessage) -> Result<Vec<u8>, postcard::Error> {
     postcard::to_stdvec(message)
 }
 
-/// Reads a message between nodes.
+/// Decodes a message between nodes.
 pub(crate) fn read_message(bytes: &[u8]) -> Option<PeerMessage> {
     postcard::from_bytes(bytes).ok()
 }
 
 fn millis(span: Span) -> u32 {
-    u32::try_from(span.as_millis()).unwrap_or(NO_WAIT - 1)
+    u32::try_from(span.as_millis()).unwrap_or(NO_BEST - 1)
 }
 
-fn number_at(bytes: &[u8], at: usize) -> Option<u32> {
-    let field = bytes.get(at..at + 4)?.first_chunk()?;
+fn number_at(bytes: &[u8], offset: usize) -> Option<u32> {
+    let field = bytes.get(offset..offset + 4)?.first_chunk()?;
     Some(u32::from_be_bytes(*field))
 }
 
-fn node_at(bytes: &[u8], at: usize) -> Option<NodeId> {
-    number_at(bytes, at).map(|number| NodeId::new(Ipv4Addr::from(number)))
+fn node_at(bytes: &[u8], offset: usize) -> Option<NodeId> {
+    number_at(bytes, offset).map(|number| NodeId::new(Ipv4Addr::from(number)))
 }
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! What the control threads of balancers and agents share.
+//! Code that the control threads of balancers and agents share.
 
 mod metrics;
 mod peers;
--- a/crates/node/src/control/peers.rs
+++ b/crates/node/src/control/peers.rs
@@ -4,10 +4,10 @@
 use usher_forwarding::NodeId;
 
 use crate::codec::{DATAGRAM_BYTES, PeerMessage, read_message, write_message};
-use crate::socket::{FAILED_PAUSE, open_udp, send};
+use crate::socket::{RETRY_PAUSE, open_udp, send};
 use crate::{NodeError, Settings, event};
 
-/// Messages between the control threads of nodes.
+/// Sends and receives messages between the control threads of nodes.
 #[derive(Debug)]
 pub(crate) struct Peers {
     sender: UdpSocket,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The next message that can be read.
+    /// Waits for the next valid message.
     pub(crate) async fn receive(&self) -> (NodeId, PeerMessage) {
         let mut buffer = [0; DATAGRAM_BYTES];
         loop {
@@ -57,7 +57,7 @@
                 Ok(received) => received,
                 Err(fault) => {
                     event::RECEIVE_FAILED.log(&[("fault", &fault)]);
-                    tokio::time::sleep(FAILED_PAUSE).await;
+                    tokio::time::sleep(RETRY_PAUSE).await;
                     continue;
                 }
             };
--- a/crates/node/src/control/reload.rs
+++ b/crates/node/src/control/reload.rs
@@ -2,7 +2,7 @@
 
 use crate::{Settings, event};
 
-/// Reads the settings again and takes the level of the log from them.
+/// Reads the settings again and applies their log level.
 pub(crate) fn reload(file: &Path) {
     match Settings::read(file) {
         Ok(settings) => {
--- a/crates/node/src/control/signals.rs
+++ b/crates/node/src/control/signals.rs
@@ -2,7 +2,7 @@
 
 use crate::NodeError;
 
-/// What the platform asks of a running process.
+/// A request from the platform to a running process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Signal {
     /// Stop as planned.
--- a/crates/node/src/control/store.rs
+++ b/crates/node/src/control/store.rs
@@ -8,10 +8,10 @@
 use crate::event;
 use crate::http::Client;
 
-// The kind of object in which balancers are found.
+// Kind of the objects under which balancers register.
 const BALANCERS: &str = "balancers";
-// An answer takes 4 ms; a store that is 50 times slower still serves.
-const CALL: Span = Span::from_millis(1_000);
+// The store answers in 4 ms; one that is 50 times slower is still usable.
+const CALL_TIMEOUT: Span = Span::from_millis(1_000);
 const FIRST_PAUSE: Duration = Duration::from_millis(200);
 const LONGEST_PAUSE: Duration = Duration::from_secs(1);
 const OK: u16 = 200;
@@ -24,7 +24,7 @@
     address: NodeId,
 }
 
-/// Pauses between calls that fail.
+/// Exponential backoff between failed calls.
 #[derive(Debug)]
 pub(crate) struct Backoff {
     pause: Duration,
@@ -45,13 +45,13 @@
     }
 }
 
-/// Enters a balancer into the store, under the name of its machine; repeats until it stands there.
+/// Registers a balancer in the store under its machine's name; retries until it succeeds.
 pub(crate) async fn register(client: &mut Client, name: &str, node: NodeId) {
     let entry = serde_json::json!(Entry { address: node });
     let mut request = Request::create(BALANCERS, name, &entry);
     let mut backoff = Backoff::new();
     loop {
-        match client.call("register", &request, CALL).await {
+        match client.call("register", &request, CALL_TIMEOUT).await {
             Ok(reply) if matches!(reply.status, OK | CREATED) => break,
             Ok(reply) if reply.status == CONFLICT => {
                 // Created before, by an earlier process or by a call whose answer was lost.
@@ -62,12 +62,12 @@
                         continue;
                     }
                     Err(fault) => {
-                        event::STORE_LOST.log(&[("call", &"register"), ("fault", &fault)]);
+                        event::STORE_DOWN.log(&[("call", &"register"), ("fault", &fault)]);
                     }
                 }
             }
-            Ok(reply) => event::STORE_LOST.log(&[("call", &"register"), ("status", &reply.status)]),
-            Err(fault) => event::STORE_LOST.log(&[("call", &"register"), ("fault", &fault)]),
+            Ok(reply) => event::STORE_DOWN.log(&[("call", &"register"), ("status", &reply.status)]),
+            Err(fault) => event::STORE_DOWN.log(&[("call", &"register"), ("fault", &fault)]),
         }
         backoff.wait().await;
     }
@@ -82,11 +82,11 @@
     version: Version,
 }
 
-/// Removes a balancer's entry, unless it has changed since it was listed. An answer that is lost is
-/// settled by the next list.
+/// Removes a balancer's entry, unless it has changed since it was listed. If the answer
+/// is lost, the next list shows the outcome.
 pub(crate) async fn remove(client: &mut Client, listed: &Listed) {
     let request = Request::delete(BALANCERS, &listed.name, listed.version);
-    let outcome = match client.call("remove", &request, CALL).await {
+    let outcome = match client.call("remove", &request, CALL_TIMEOUT).await {
         Ok(reply) => format!("status {}", reply.status),
         Err(fault) => fault.to_string(),
     };
@@ -97,28 +97,28 @@
     ]);
 }
 
-/// Balancers that the store lists; the list may be some seconds old. `None` if the store does not
-/// serve this node.
+/// Lists the balancers in the store; the list may be some seconds old. `None` if the store is not
+/// available.
 pub(crate) async fn list_balancers(client: &mut Client) -> Option<Vec<Listed>> {
     let mut nodes = Vec::new();
     let mut after: Option<String> = None;
     loop {
         let request = Request::list(BALANCERS, after.as_deref(), true);
-        let reply = match client.call("balancers", &request, CALL).await {
+        let reply = match client.call("balancers", &request, CALL_TIMEOUT).await {
             Ok(reply) => reply,
             Err(fault) => {
-                event::STORE_LOST.log(&[("call", &"balancers"), ("fault", &fault)]);
+                event::STORE_DOWN.log(&[("call", &"balancers"), ("fault", &fault)]);
                 return None;
             }
         };
         if reply.status != OK {
-            event::STORE_LOST.log(&[("call", &"balancers"), ("status", &reply.status)]);
+            event::STORE_DOWN.log(&[("call", &"balancers"), ("status", &reply.status)]);
             return None;
         }
         let listing = match Listing::parse(&reply.body) {
             Ok(listing) => listing,
             Err(fault) => {
-                event::STORE_LOST.log(&[("call", &"balancers"), ("fault", &fault)]);
+                event::STORE_DOWN.log(&[("call", &"balancers"), ("fault", &fault)]);
                 return None;
             }
         };
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -11,13 +11,13 @@
     Unreadable {
         /// Path of the file.
         file: PathBuf,
-        /// What the system or the parser reports.
+        /// Error from the operating system or the parser.
         reason: String,
     },
     /// No settings file is named.
     #[error("MU-9102: no settings file: give --settings or set {0}")]
     NoSettings(&'static str),
-    /// A setting has a value that it does not take.
+    /// A setting has an invalid value.
     #[error("MU-9103: {section}.{key} = '{value}': expected {allowed}")]
     Value {
         /// Section of the file.
@@ -26,7 +26,7 @@
         key: &'static str,
         /// The value in the file.
         value: String,
-        /// What the key takes.
+        /// Values that the key accepts.
         allowed: &'static str,
     },
     /// An agent's settings lack the section about its backend server.
@@ -39,7 +39,7 @@
         what: &'static str,
         /// The address.
         address: String,
-        /// What the system reports.
+        /// Error from the operating system.
         cause: io::Error,
     },
     /// A template of settings cannot be rendered.
@@ -50,7 +50,7 @@
     Start {
         /// What was to be started.
         what: &'static str,
-        /// What the system reports.
+        /// Error from the operating system or the library.
         cause: String,
     },
 }
--- a/crates/node/src/http/server.rs
+++ b/crates/node/src/http/server.rs
@@ -13,10 +13,10 @@
 use tokio::task::spawn_local;
 use usher_platform::watch_connection;
 
-use crate::socket::FAILED_PAUSE;
+use crate::socket::RETRY_PAUSE;
 use crate::{NodeError, event};
 
-// Heartbeats are a few hundred bytes.
+// Longest body of a request; heartbeats are a few hundred bytes.
 const BODY_BYTES: usize = 16_384;
 
 /// Status and body of an answer.
@@ -24,7 +24,7 @@
 pub(crate) struct Answer {
     status: u16,
     body: String,
-    content: &'static str,
+    content_type: &'static str,
 }
 
 impl Answer {
@@ -33,21 +33,21 @@
         Self {
             status,
             body: body.into(),
-            content: "application/json",
+            content_type: "application/json",
         }
     }
 
-    /// An answer with nothing to tell but its status.
+    /// An answer with a status and an empty JSON object.
     pub(crate) fn empty(status: u16) -> Self {
         Self::json(status, "{}")
     }
 
-    /// Metrics.
+    /// An answer with metrics.
     pub(crate) fn metrics(body: String) -> Self {
         Self {
             status: StatusCode::OK.as_u16(),
             body,
-            content: "application/openmetrics-text; version=1.0.0; charset=utf-8",
+            content_type: "application/openmetrics-text; version=1.0.0; charset=utf-8",
         }
     }
 }
@@ -70,11 +70,11 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    spawn_local(converse(stream, Rc::clone(&answer)));
+                    spawn_local(handle_connection(stream, Rc::clone(&answer)));
                 }
                 Err(fault) => {
                     event::RECEIVE_FAILED.log(&[("listener", &what), ("fault", &fault)]);
-                    tokio::time::sleep(FAILED_PAUSE).await;
+                    tokio::time::sleep(RETRY_PAUSE).await;
                 }
             }
         }
@@ -82,7 +82,10 @@
     Ok(())
 }
 
-async fn converse(stream: TcpStream, answer: Rc<impl Fn(&str, &str, &[u8]) -> Answer + 'static>) {
+async fn handle_connection(
+    stream: TcpStream,
+    answer: Rc<impl Fn(&str, &str, &[u8]) -> Answer + 'static>,
+) {
     if let Err(fault) = watch_connection(&stream) {
         event::MALFORMED.log(&[("connection", &fault)]);
         return;
@@ -114,7 +117,7 @@
     let mut response = Response::new(Full::new(Bytes::from(answer.body)));
     *response.status_mut() =
         StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let content = HeaderValue::from_static(answer.content);
-    response.headers_mut().insert(CONTENT_TYPE, content);
+    let content_type = HeaderValue::from_static(answer.content_type);
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,4 @@
-//! Runs the forwarding decisions on the users' platform: threads, sockets and calls.
+//! Runs balancers and agents on the users' platform: threads, sockets and HTTP calls.
 //!
 //! One thread holds the control state. Traffic threads block on their sockets.
 
@@ -49,7 +49,7 @@
         })?;
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime, async {
-        // First of all: a signal without a handler ends the process.
+        // Must come first: a signal without a handler ends the process.
         let signals = Signals::new()?;
         let settings = Settings::read(&file)?;
         let logs = logs::start(&settings)?;
--- a/crates/node/src/logs.rs
+++ b/crates/node/src/logs.rs
@@ -9,21 +9,22 @@
 
 use crate::{NodeError, Settings, event};
 
-// Lines that wait to be written; about 1 MB. More are dropped and counted.
+// Lines queued for writing, about 1 MB. Further lines are dropped and counted.
 const QUEUE_LINES: usize = 4_096;
-// Lines are collected for this long, so that a busy node makes few system calls.
-const COLLECT: Duration = Duration::from_millis(50);
-// A pipe takes this much at once, so lines of several nodes do not mix.
+// Lines are collected into one batch for this long, so that a busy node makes few system calls.
+const BATCH_TIME: Duration = Duration::from_millis(50);
+// A pipe takes a write of this size whole, so lines of several nodes do not mix.
 const WRITE_BYTES: usize = 4_096;
-// At the end of the process, the writer gets this long.
-const FLUSH: Duration = Duration::from_millis(200);
+// Longest wait for the writer when the process exits.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-// Lines of one event in a second; a balancer places 50 flows a second, and some hundred after an outage.
+// Lines of one event per second. A balancer places 50 flows per second, and several hundred after
+// an outage.
 const LINES_PER_SECOND: u32 = 500;
 
-static LOST: AtomicU64 = AtomicU64::new(0);
+static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// The running log; lines are written by a thread of their own.
+/// The running log; a separate thread writes its lines.
 #[derive(Debug)]
 pub(crate) struct Logs {
     lines: SyncSender<Line>,
@@ -48,7 +49,7 @@
         .name("log".to_owned())
         .spawn(move || {
             write_lines(&queue);
-            // The process may have stopped waiting.
+            // `finish` may have stopped waiting.
             let _ended = finished.send(());
         })
         .map_err(|cause| failed(cause.to_string()))?;
@@ -73,11 +74,11 @@
 }
 
 impl Logs {
-    /// Writes what is queued and ends the writer.
+    /// Writes the queued lines and ends the writer.
     pub(crate) fn finish(self) {
         if self.lines.try_send(Line::End).is_ok() {
-            // A writer that is blocked must not keep the process.
-            let _finished = self.done.recv_timeout(FLUSH);
+            // A blocked writer must not keep the process from exiting.
+            let _finished = self.done.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
@@ -96,7 +97,7 @@
     fn log(&self, record: &Record<'_>) {
         let line = Line::Text(record.args().to_string());
         if let Err(TrySendError::Full(_)) = self.lines.try_send(line) {
-            LOST.fetch_add(1, Ordering::Relaxed);
+            DROPPED.fetch_add(1, Ordering::Relaxed);
         }
     }
 
@@ -108,20 +109,20 @@
     let mut text = String::new();
     while let Ok(Line::Text(line)) = queue.recv() {
         add(&mut out, &mut text, &line);
-        thread::sleep(COLLECT);
+        thread::sleep(BATCH_TIME);
         let ended = collect(queue, &mut out, &mut text);
         flush(&mut out, &mut text);
         if ended {
             return;
         }
-        let lost = LOST.swap(0, Ordering::Relaxed);
-        if lost > 0 {
-            event::LINES_LOST.log(&[("lines", &lost)]);
+        let dropped = DROPPED.swap(0, Ordering::Relaxed);
+        if dropped > 0 {
+            event::LINES_DROPPED.log(&[("lines", &dropped)]);
         }
     }
 }
 
-// Takes the lines that wait; `true` if the log ends.
+// Appends all queued lines; `true` if the log ends.
 fn collect(queue: &Receiver<Line>, out: &mut impl Write, text: &mut String) -> bool {
     loop {
         match queue.recv_timeout(Duration::ZERO) {
@@ -141,7 +142,7 @@
 }
 
 fn flush(out: &mut impl Write, text: &mut String) {
-    // Nothing can be told of a log that cannot be written.
+    // A failure to write the log cannot be logged.
     let _written = out.write_all(text.as_bytes()).and_then(|()| out.flush());
     text.clear();
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -20,13 +20,13 @@
 /// A metric of a node; `docs/metrics.md` lists all of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NodeMetric {
-    /// Name as it is served, without the ending of a counter.
+    /// Name as it is served, without the suffix `_total` of a counter.
     pub name: &'static str,
     /// Counter, gauge or histogram.
     pub kind: &'static str,
     /// Unit of the value.
     pub unit: &'static str,
-    /// What it tells.
+    /// Help text.
     pub help: &'static str,
 }
 
@@ -87,14 +87,14 @@
         let mut registry = Registry::default();
         let packets = Family::<[(&'static str, &'static str); 1], Counter>::default();
         let bytes = Family::<[(&'static str, &'static str); 1], Counter>::default();
-        let of = |direction| {
+        let counters = |direction| {
             let label = [("direction", direction)];
             let packets = packets.get_or_create(&label).clone();
             (packets, bytes.get_or_create(&label).clone())
         };
         let metrics = Self {
-            inbound: of("inbound"),
-            outbound: of("outbound"),
+            inbound: counters("inbound"),
+            outbound: counters("outbound"),
             packets: packets.clone(),
             store_calls: Family::default(),
             events: Family::default(),
@@ -144,29 +144,29 @@
         self.store_calls.get_or_create(&labels).inc();
     }
 
-    /// Takes the time of a request's work.
+    /// Records the time from a request to its answer.
     pub(crate) fn work(&self, span: Span) {
         self.work.observe(span.as_secs_f64());
     }
 
-    /// Takes the age of the report by which a flow was placed.
+    /// Records the age of the report by which a flow was placed.
     pub(crate) fn age(&self, span: Span) {
         self.age.observe(span.as_secs_f64());
     }
 
-    /// Takes the hops of an opening packet.
+    /// Records the hops of an opening packet.
     pub(crate) fn hops(&self, hops: u8) {
         self.hops.observe(f64::from(hops));
     }
 
-    /// Sets what a balancer knows.
-    pub(crate) fn balancer(&self, version: Version, hosts: usize) {
+    /// Sets the gauges of a balancer.
+    pub(crate) fn set_balancer(&self, version: Version, hosts: usize) {
         set(&self.version, version.get());
         set(&self.hosts, hosts as u64);
     }
 
-    /// Sets what an agent holds.
-    pub(crate) fn agent(&self, flows: usize, working: u16) {
+    /// Sets the gauges of an agent.
+    pub(crate) fn set_agent(&self, flows: usize, working: u16) {
         set(&self.flows, flows as u64);
         set(&self.working, u64::from(working));
     }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// Settings of a node, checked.
+/// Validated settings of a node.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// What the node runs as.
@@ -41,19 +41,19 @@
     pub name: String,
     /// Data centre of the machine.
     pub centre: DataCentre,
-    /// The node, by its machine's address.
+    /// Id of the node: the address of its machine.
     pub node: NodeId,
-    /// Where packets arrive. Callers and other nodes have the same port.
+    /// Address for packets. Callers and other nodes use the same port.
     pub packets: SocketAddrV4,
-    /// Where the platform asks whether the node is ready.
+    /// Address at which the platform checks readiness.
     pub ready: SocketAddrV4,
-    /// First of the ports between nodes: greetings and reports over UDP, configuration over TCP.
+    /// First port between nodes: hello messages and reports over UDP, configuration over TCP.
     pub peer_port: u16,
-    /// Balancers that may be there when the store is not.
+    /// Balancers to contact at the start, in case the store is unavailable.
     pub seeds: Vec<NodeId>,
     /// The platform's store.
     pub store: SocketAddrV4,
-    /// What the machine's processor gives the node.
+    /// Processor capacity of the machine for this node.
     pub strength: Strength,
     /// Longest life of a flow.
     pub flow_life: Span,
@@ -67,16 +67,16 @@
     pub agent: Option<AgentSettings>,
 }
 
-/// Settings about the backend server beside an agent.
+/// Settings of the backend server that an agent serves.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AgentSettings {
     /// Its service.
     pub service: String,
-    /// Where it receives packets.
+    /// Address at which it receives packets.
     pub backend: SocketAddrV4,
-    /// Where its packets arrive.
+    /// Address at which the agent receives its packets.
     pub outbound: SocketAddrV4,
-    /// Where its heartbeats arrive.
+    /// Address at which the agent receives its heartbeats.
     pub control: SocketAddrV4,
 }
 
@@ -142,10 +142,10 @@
         Self::parse(&text, file)
     }
 
-    /// Checks a template of settings, as it comes out for a balancer and for an agent.
+    /// Checks a settings template, rendered for a balancer and for an agent.
     ///
     /// # Errors
-    /// `MU-9101`, `MU-9103` or `MU-9104` as for a file, and what the template itself lacks.
+    /// `MU-9101`, `MU-9103` or `MU-9104` as for a file, or an error in the template itself.
     ///
     /// ```
     /// let fault = usher_node::Settings::check_template("/missing").unwrap_err();
@@ -157,8 +157,8 @@
             file: file.to_owned(),
             reason: fault.to_string(),
         })?;
-        for beside in [false, true] {
-            let text = render_example(&template, beside).map_err(NodeError::Template)?;
+        for with_agent in [false, true] {
+            let text = render_example(&template, with_agent).map_err(NodeError::Template)?;
             Self::parse(&text, file)?;
         }
         Ok(())
--- a/crates/node/src/socket.rs
+++ b/crates/node/src/socket.rs
@@ -7,10 +7,10 @@
 
 use crate::{NodeError, event};
 
-// Packets that wait while the node is not scheduled; about 600 long ones.
+// Bytes of packets that wait while the node is not scheduled; about 600 long packets.
 const RECEIVE_BUFFER: usize = 1_048_576;
-/// A socket that fails, for lack of descriptors say, is tried again at this pace.
-pub(crate) const FAILED_PAUSE: Duration = Duration::from_millis(20);
+/// Pause before a failed socket call is repeated, for example for lack of descriptors.
+pub(crate) const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
 /// Opens a UDP socket for packets.
 pub(crate) fn open_udp(address: SocketAddrV4, what: &'static str) -> Result<UdpSocket, NodeError> {
@@ -27,21 +27,25 @@
     Ok(socket)
 }
 
-/// Receives datagrams for ever and hands each to `take`.
-pub(crate) fn receive_all(socket: &UdpSocket, buffer: &mut [u8], mut take: impl FnMut(&mut [u8])) {
+/// Receives datagrams until the process exits and passes each to `handle`.
+pub(crate) fn receive_all(
+    socket: &UdpSocket,
+    buffer: &mut [u8],
+    mut handle: impl FnMut(&mut [u8]),
+) {
     loop {
         match socket.recv(buffer) {
-            Ok(length) => take(&mut buffer[..length]),
+            Ok(length) => handle(&mut buffer[..length]),
             Err(fault) if fault.kind() == io::ErrorKind::Interrupted => {}
             Err(fault) => {
                 event::RECEIVE_FAILED.log(&[("fault", &fault)]);
-                thread::sleep(FAILED_PAUSE);
+                thread::sleep(RETRY_PAUSE);
             }
         }
     }
 }
 
-/// Sends a datagram; a failure is logged, since its sender repeats what matters.
+/// Sends a datagram; a failure is only logged, since lost datagrams are repeated.
 pub(crate) fn send(socket: &UdpSocket, bytes: &[u8], to: SocketAddrV4) {
     if let Err(fault) = socket.send_to(bytes, to) {
         event::SEND_FAILED.log(&[("to", &to), ("fault", &fault)]);
