--- a/crates/node/examples/cost.rs
+++ b/crates/node/examples/cost.rs
@@ -1,4 +1,4 @@
-//! Costs of a balancer and an agent on this machine: idle, and for each packet.
+//! Measures the costs of a balancer and an agent on this machine: idle, and for each packet.
 //!
 //! `cargo run --release -p usher-node --example cost -- target/release/marigoldusher-node`
 
@@ -11,10 +11,10 @@
 
 const NET: u8 = 31;
 const PACKETS: u32 = 100_000;
-// One packet every 50 us: 20,000 a second, which both nodes carry without loss on this machine.
-const PACE: Duration = Duration::from_micros(50);
-const IDLE: Duration = Duration::from_secs(10);
-const ACKNOWLEDGING: u8 = 64;
+// One packet every 50 us: 20,000 per second, which both nodes carry without loss on this machine.
+const SEND_INTERVAL: Duration = Duration::from_micros(50);
+const IDLE_TIME: Duration = Duration::from_secs(10);
+const ACK_FLAG: u8 = 64;
 const MICROS_PER_TICK: f64 = 10_000.0;
 
 fn main() {
@@ -27,41 +27,41 @@
     });
     let nodes = [("balancer", &world.balancer), ("agent", &world.agent)];
     let start = nodes.map(|(_, node)| micros(node));
-    thread::sleep(IDLE);
+    thread::sleep(IDLE_TIME);
     for ((name, node), before) in nodes.iter().zip(start) {
-        let idle = (micros(node) - before) / IDLE.as_secs_f64();
+        let idle = (micros(node) - before) / IDLE_TIME.as_secs_f64();
         println!(
             "{name}: started with {before} us, idle {idle:.0} us/s, peak {} kB, {} threads",
             status(node, "VmHWM:"),
             status(node, "Threads:")
         );
     }
-    // Later packets of a flow; the backend server's socket is drained beside.
+    // Sends later packets of one flow; another thread drains the backend server's socket.
     let mut packet = world.await_flow(1_000);
     packet[14..18].fill(0);
-    packet[18] = ACKNOWLEDGING;
+    packet[18] = ACK_FLAG;
     let backend = world.backend.try_clone().expect("a socket");
     thread::spawn(move || while receive(&backend).is_some() {});
     let before = nodes.map(|(_, node)| (micros(node), switches(node)));
     let begin = Instant::now();
     for number in 0..PACKETS {
-        while begin.elapsed() < PACE * number {
-            thread::sleep(PACE);
+        while begin.elapsed() < SEND_INTERVAL * number {
+            thread::sleep(SEND_INTERVAL);
         }
         world.send(&packet);
     }
     thread::sleep(Duration::from_millis(500));
-    for ((name, node), (time, woken)) in nodes.iter().zip(before) {
+    for ((name, node), (time, waits)) in nodes.iter().zip(before) {
         let count = f64::from(PACKETS);
         println!(
             "{name}: {:.2} us a packet, {:.2} wake-ups a packet",
             (micros(node) - time) / count,
-            (switches(node) - woken) / count
+            (switches(node) - waits) / count
         );
     }
 }
 
-// Processor time of a process.
+// Processor time of a process, in microseconds.
 fn micros(node: &Process) -> f64 {
     let stat = read(node, "stat");
     let fields = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
@@ -72,7 +72,7 @@
         * MICROS_PER_TICK
 }
 
-// Times that the threads of a process gave the processor up to wait.
+// Voluntary context switches of all threads of a process.
 fn switches(node: &Process) -> f64 {
     let tasks = fs::read_dir(format!("/proc/{}/task", node.id()))
         .into_iter()
--- a/crates/node/tests/processes.rs
+++ b/crates/node/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Balancer and agent as real processes, with stand-ins for all that the platform gives.
+//! Balancer and agent as real processes, with stand-ins for the services of the platform.
 
 use std::path::Path;
 
@@ -23,7 +23,7 @@
     world
 }
 
-/// Guards against a path that does not carry a packet there and back, unchanged.
+/// Guards against packets that are lost or changed between the caller and the backend server.
 #[test]
 fn a_flow_goes_there_and_back() {
     let world = start(11);
@@ -37,8 +37,8 @@
     assert_eq!(receive(&world.caller), Some(answer));
 }
 
-/// Guards against a leaving backend server that gets new flows, and against a caller that waits
-/// for nobody.
+/// Guards against new flows to a draining backend server, and against callers that get no answer
+/// when no host is left.
 #[test]
 fn a_leaving_backend_server_gets_no_flow_and_the_caller_a_reset() {
     let world = start(12);
@@ -52,7 +52,7 @@
     assert_eq!(receive(&world.backend), None);
 }
 
-/// Guards against a returned packet that is lost when no other host is there.
+/// Guards against a dropped packet when the only host returns it: its caller must get a reset.
 #[test]
 fn a_flow_that_the_only_host_returns_is_refused() {
     let world = start(13);
@@ -64,7 +64,7 @@
     assert_eq!(reset.target, returned.source);
 }
 
-/// Guards against a configuration that does not take effect, or is lost with the store.
+/// Guards against a configuration that is not applied, or is lost when the store fails.
 #[test]
 fn configuration_takes_effect_and_outlives_the_store() {
     let world = start(14);
@@ -76,7 +76,7 @@
     world.await_no_route(3_000);
 }
 
-/// Guards against input of strangers that ends a process.
+/// Guards against malformed input from outside that ends a process.
 #[test]
 fn malformed_input_ends_nothing() {
     let mut world = start(15);
@@ -90,7 +90,7 @@
     assert!(world.balancer.is_running() && world.agent.is_running());
 }
 
-/// Guards against a planned stop that cuts traffic off before it is turned away.
+/// Guards against a planned stop that drops traffic before the routers send it elsewhere.
 #[test]
 fn planned_stops_are_graceful() {
     let mut world = start(16);
@@ -104,7 +104,7 @@
     assert!(world.agent.ended_well());
 }
 
-/// Guards against a balancer that follows a history which the store has dropped.
+/// Guards against a balancer that watches from a version whose history the store has dropped.
 #[test]
 fn configuration_follows_a_dropped_history() {
     let world = start(17);
@@ -117,7 +117,7 @@
     world.await_no_route(2_000);
 }
 
-/// Guards against a change that a store with faults keeps from a balancer for good.
+/// Guards against a configuration change that a balancer misses for good after a store fault.
 #[test]
 fn configuration_outlives_every_fault_of_the_store() {
     let delayed = Faults {
@@ -143,8 +143,8 @@
     }
 }
 
-/// Guards against nodes that do not find each other while the store is down and most seeds have
-/// gone.
+/// Guards against nodes that do not find each other while the store is down and most seeds no
+/// longer exist.
 #[test]
 fn nodes_start_without_the_store_and_with_stale_seeds() {
     let mut world = start(21);
@@ -163,7 +163,7 @@
     drop(second);
 }
 
-/// Guards against a process that a suspension leaves with what it believed before.
+/// Guards against a balancer that keeps outdated state after a suspension.
 #[test]
 fn a_suspended_balancer_catches_up() {
     let world = start(22);
@@ -176,7 +176,7 @@
     assert_eq!(world.ready(), 200);
 }
 
-/// Guards against flows that end because their agent was suspended or has started again.
+/// Guards against flows that end because their agent was suspended or restarted.
 #[test]
 fn flows_outlive_their_agent() {
     let mut world = start(23);
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -10,7 +10,7 @@
 use rustix::process::{Pid, Signal, kill_process};
 use usher_node::{Role, Settings};
 
-const GOOD: &str = "[process]\nrole = agent\nname = side-1\ncentre = kolkata\naddress = 10.1.0.13\n\
+const VALID: &str = "[process]\nrole = agent\nname = side-1\ncentre = kolkata\naddress = 10.1.0.13\n\
     packets = 10.1.0.13:8172\nready = 10.1.0.13:8167\npeer_port = 7720\n\
     seeds = 10.1.0.10:8166,10.2.0.40:8166\nstore = 10.200.1.7:8169\ncores = 0.055\nflow_life_s = 60\ngrace_s = 6\n\
     log = info\nmetrics = 9464\n\n[agent]\nservice = huvo11a\nbackend = 10.1.0.13:8165\noutbound = 10.1.0.13:8162\n\
@@ -22,10 +22,10 @@
     Settings::read(&file).map_err(|fault| fault.to_string())
 }
 
-/// Guards against a setting that is not read, or a wrong one that is not named.
+/// Guards against a setting that is not read, and an invalid one that the error does not name.
 #[test]
 fn wrong_settings_are_refused_with_a_number() {
-    let settings = read("good", GOOD).unwrap();
+    let settings = read("good", VALID).unwrap();
     assert_eq!(settings.role, Role::Agent);
     assert_eq!((settings.seeds.len(), settings.peer_port), (2, 7720));
     let cases = [
@@ -73,13 +73,13 @@
         ("[agent]", "[other]", "MU-9104"),
     ];
     for (index, (from, to, expected)) in cases.into_iter().enumerate() {
-        assert!(GOOD.contains(from));
-        let fault = read(&format!("case-{index}"), &GOOD.replacen(from, to, 1)).unwrap_err();
+        assert!(VALID.contains(from));
+        let fault = read(&format!("case-{index}"), &VALID.replacen(from, to, 1)).unwrap_err();
         assert!(fault.starts_with(expected), "{from}: {fault}");
     }
 }
 
-/// Guards against a template that lacks a key, or has one that nothing reads.
+/// Guards against a template that lacks a key or has an unused one.
 #[test]
 fn the_template_has_the_keys_that_are_read() {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..");
@@ -88,11 +88,11 @@
         let lines = text.lines().filter_map(|line| line.split_once(" = "));
         lines.map(|(key, _)| key.to_owned()).collect()
     };
-    assert_eq!(keys(&template), keys(GOOD));
+    assert_eq!(keys(&template), keys(VALID));
 }
 
-/// Guards against a signal that ends a process which has not read its settings yet: the platform may
-/// send one at any time, and a machine may be slow.
+/// Guards against a signal that ends a process before it has read its settings. The platform may
+/// send one at any time, and a slow machine takes long to start.
 #[test]
 fn a_signal_at_the_start_ends_nothing() {
     let fifo = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("early-signal.ini");
--- a/crates/node/tests/soak_run/callers.rs
+++ b/crates/node/tests/soak_run/callers.rs
@@ -12,37 +12,37 @@
 use super::ROUTES;
 
 const CALLER: u8 = 4;
-const MOST: usize = 60;
-const PACE: Duration = Duration::from_millis(10);
-const OPEN_PACE: Duration = Duration::from_millis(40);
-const REPEAT: Duration = Duration::from_millis(200);
-// Callers give up on a flow that does not open within this time.
-const GIVE_UP: Duration = Duration::from_secs(3);
-// After the faults, packets are answered within this time.
-const ANSWER: Duration = Duration::from_secs(3);
-// Routes that stay in force.
-const LASTING: usize = 2;
+const MAX_FLOWS: usize = 60;
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(10);
+const OPEN_INTERVAL: Duration = Duration::from_millis(40);
+const RESEND_INTERVAL: Duration = Duration::from_millis(200);
+// A caller abandons a flow that does not open within this time.
+const OPEN_TIMEOUT: Duration = Duration::from_secs(3);
+// After the faults, every packet must be answered within this time.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+// The first routes; they stay in force during the whole run.
+const PERMANENT_ROUTES: usize = 2;
 
 #[derive(Debug)]
 struct Flow {
     route: usize,
-    begun: Instant,
+    started: Instant,
     open: bool,
-    /// Position at which the backend server began the flow.
+    /// Sequence number at which the backend server began the flow.
     first: u32,
     /// Service, machine and start of the backend server, from its first answer.
     answer: Option<String>,
-    /// When a packet was sent that has no answer yet, and when it is sent next.
+    /// First and next sending time of a packet without an answer.
     waiting: Option<(Instant, Instant)>,
 }
 
-/// Callers that keep flows open and send on them by changing balancers.
+/// Callers that keep flows open and send on them through changing balancers.
 pub struct Callers {
     nodes: Nodes,
     socket: UdpSocket,
     random: Pcg64,
     flows: IndexMap<u16, Flow>,
-    lost: IndexMap<u8, Instant>,
+    ended: IndexMap<u8, Instant>,
     port: u16,
     opened_at: Instant,
     counts: IndexMap<&'static str, usize>,
@@ -51,13 +51,13 @@
 impl Callers {
     pub fn new(nodes: &Nodes, random: Pcg64) -> Self {
         let socket = UdpSocket::bind(nodes.address(CALLER, PACKETS)).unwrap();
-        socket.set_read_timeout(Some(PACE)).unwrap();
+        socket.set_read_timeout(Some(RECEIVE_TIMEOUT)).unwrap();
         Self {
             nodes: nodes.clone(),
             socket,
             random,
             flows: IndexMap::new(),
-            lost: IndexMap::new(),
+            ended: IndexMap::new(),
             port: 1_000,
             opened_at: Instant::now(),
             counts: IndexMap::new(),
@@ -68,14 +68,14 @@
         &self.counts
     }
 
-    /// A backend server ends and takes its flows with it.
-    pub fn lose_host(&mut self, now: Instant, host: u8) {
-        self.lost.insert(host, now);
+    /// Records that a backend server has ended, and its flows with it.
+    pub fn record_end(&mut self, now: Instant, host: u8) {
+        self.ended.insert(host, now);
     }
 
-    /// Opens a flow, sends on another one, repeats what is unanswered and takes what arrives.
+    /// Opens a flow, sends on another one, repeats unanswered packets and handles received ones.
     pub fn step(&mut self, now: Instant, balancers: &[u8]) {
-        if self.flows.len() < MOST && now - self.opened_at >= OPEN_PACE {
+        if self.flows.len() < MAX_FLOWS && now - self.opened_at >= OPEN_INTERVAL {
             self.opened_at = now;
             self.open(now);
         }
@@ -90,7 +90,7 @@
         self.receive();
     }
 
-    /// Every open flow whose backend server lived is answered, and new flows are taken.
+    /// Asserts that open flows of running backend servers are answered, and new flows accepted.
     pub fn assert_served(&mut self, balancers: &[u8]) {
         let begin = Instant::now();
         self.flows.retain(|_, flow| flow.open);
@@ -100,17 +100,18 @@
         for _ in 0..20 {
             self.open(begin);
         }
-        while begin.elapsed() < ANSWER {
+        while begin.elapsed() < ANSWER_TIMEOUT {
             self.send(Instant::now(), balancers);
             self.receive();
         }
-        let lost = &self.lost;
+        let ended = &self.ended;
         for (port, flow) in &self.flows {
             let served = flow.open && flow.waiting.is_none();
-            let lasting = flow.route < LASTING;
-            // A flow that never had an answer may have been with a backend server that ended.
-            let unknown = flow.answer.is_none() && lost.values().any(|lost| *lost > flow.begun);
-            assert!(served || !lasting || unknown, "flow {port}: {flow:?}");
+            let permanent = flow.route < PERMANENT_ROUTES;
+            // A flow without any answer may have been at a backend server that ended.
+            let unknown =
+                flow.answer.is_none() && ended.values().any(|ended| *ended > flow.started);
+            assert!(served || !permanent || unknown, "flow {port}: {flow:?}");
         }
     }
 
@@ -118,7 +119,7 @@
         self.port += 1;
         let flow = Flow {
             route: self.random.random_range(0..ROUTES.len()),
-            begun: now,
+            started: now,
             open: false,
             first: 0,
             answer: None,
@@ -129,25 +130,25 @@
     }
 
     fn send(&mut self, now: Instant, balancers: &[u8]) {
-        let mut given_up = Vec::new();
+        let mut abandoned = Vec::new();
         let mut packets = Vec::new();
         for (port, flow) in &mut self.flows {
             let Some((since, due)) = flow.waiting else {
                 continue;
             };
-            if !flow.open && now - since > GIVE_UP {
-                given_up.push(*port);
+            if !flow.open && now - since > OPEN_TIMEOUT {
+                abandoned.push(*port);
             } else if now >= due {
-                flow.waiting = Some((since, now + REPEAT));
+                flow.waiting = Some((since, now + RESEND_INTERVAL));
                 packets.push((*port, flow.route, flow.open, flow.first));
             }
         }
-        for port in given_up {
+        for port in abandoned {
             self.flows.swap_remove(&port);
-            self.count("given up");
+            self.count("abandoned");
         }
         for (port, route, open, first) in packets {
-            // As routers do: by the flow, over those in rotation.
+            // Chooses among the running balancers by the flow, as routers do.
             let Some(balancer) = balancers.get(usize::from(port) % balancers.len().max(1)) else {
                 continue;
             };
@@ -182,7 +183,7 @@
         let mut buffer = [0; 2_048];
         loop {
             match self.socket.recv(&mut buffer) {
-                Ok(length) => self.take(&buffer[..length]),
+                Ok(length) => self.handle(&buffer[..length]),
                 Err(fault)
                     if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) =>
                 {
@@ -194,7 +195,7 @@
         }
     }
 
-    fn take(&mut self, packet: &[u8]) {
+    fn handle(&mut self, packet: &[u8]) {
         let head = head(packet).expect("nodes send whole packets");
         let port = head.target.port();
         let Some(flow) = self.flows.get_mut(&port) else {
@@ -203,7 +204,7 @@
         if head.flags.resetting {
             let flow = self.flows.swap_remove(&port).unwrap();
             if flow.open {
-                self.assert_lost(port, &flow);
+                self.assert_ended(port, &flow);
                 self.count("reset with their hosts");
             } else {
                 self.count("refused");
@@ -215,7 +216,7 @@
                 flow.open = true;
                 flow.first = head.sequence;
                 flow.waiting = None;
-                self.count("taken");
+                self.count("accepted");
             }
             return;
         }
@@ -233,19 +234,25 @@
 
     // An open flow is reset only if its backend server has ended, or if a configuration has dropped
     // its route: a copy of its first packet is then refused.
-    fn assert_lost(&self, port: u16, flow: &Flow) {
-        if flow.route >= LASTING {
+    fn assert_ended(&self, port: u16, flow: &Flow) {
+        if flow.route >= PERMANENT_ROUTES {
             return;
         }
         let host = flow.answer.as_ref().and_then(|answer| {
             let host = answer.split(' ').nth(1)?;
             host.parse::<u8>().ok()
         });
-        let lost = match host {
-            Some(host) => self.lost.get(&host).is_some_and(|lost| *lost > flow.begun),
-            None => self.lost.values().any(|lost| *lost > flow.begun),
+        let ended = match host {
+            Some(host) => self
+                .ended
+                .get(&host)
+                .is_some_and(|ended| *ended > flow.started),
+            None => self.ended.values().any(|ended| *ended > flow.started),
         };
-        assert!(lost, "flow {port} was reset while its host lived: {flow:?}");
+        assert!(
+            ended,
+            "flow {port} was reset while its host lived: {flow:?}"
+        );
     }
 
     fn count(&mut self, what: &'static str) {
--- a/crates/node/tests/soak_run/faults.rs
+++ b/crates/node/tests/soak_run/faults.rs
@@ -7,7 +7,7 @@
 
 use super::{BALANCERS, HOSTS, ROUTES};
 
-/// Something that happens to the deployment.
+/// A fault or its end, a configuration change or a signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
     KillBalancer(u8),
@@ -43,20 +43,21 @@
     }
 }
 
-/// When which fault begins and ends. A machine has one fault at a time; faults of several overlap.
+/// Start and end times of faults: one at a time per machine, overlapping across machines.
 pub struct Schedule {
     random: Pcg64,
     next: Instant,
-    // What a fault ends with, and the machine that is free again then.
+    // End time of each current fault, the action that ends it, and its machine.
     ends: Vec<(Instant, Action, u8)>,
     busy: Vec<u8>,
     born: u64,
 }
 
-// The store and its operator, as one machine.
+// Stands for the store and its operator, which count as one machine.
 const STORE: u8 = 1;
-// A planned stop takes 2.5 s; its address is free after that.
-const STOP: u64 = 4_000;
+// Time until a stopped balancer starts again. A planned stop takes 2.5 s; its address is free after
+// that.
+const RESTART_MILLIS: u64 = 4_000;
 
 impl Schedule {
     pub fn new(random: Pcg64) -> Self {
@@ -73,7 +74,7 @@
         !self.ends.is_empty()
     }
 
-    /// The next action that is due; new faults only while they are wanted.
+    /// The next action that is due; begins new faults only if `wanted`.
     pub fn next(&mut self, now: Instant, wanted: bool) -> Option<Action> {
         if let Some(index) = self.ends.iter().position(|(due, ..)| *due <= now) {
             let (_, action, machine) = self.ends.swap_remove(index);
@@ -89,7 +90,7 @@
         let pause = self.random.random_range(200..3_000);
         let kind = self.random.random_range(0..9);
         self.born += 1;
-        let (machine, lasts, begin, end) = match kind {
+        let (machine, duration, begin, end) = match kind {
             0 => (
                 balancer,
                 pause,
@@ -98,7 +99,7 @@
             ),
             1 => (
                 balancer,
-                STOP,
+                RESTART_MILLIS,
                 Action::StopBalancer(balancer),
                 Action::StartBalancer(balancer),
             ),
@@ -123,7 +124,7 @@
             5 => (
                 STORE,
                 pause,
-                Action::Store(self.store()),
+                Action::Store(self.store_faults()),
                 Action::StoreWorks,
             ),
             6 => (
@@ -134,7 +135,7 @@
             ),
             7 => {
                 let restart = Action::RestartBackend(host, self.born);
-                // At rest for a while, so that its agent hears it.
+                // The machine has no other fault meanwhile, so that a heartbeat reaches the agent.
                 let reload = Action::Reload(balancer);
                 (host, pause, restart, reload)
             }
@@ -150,12 +151,12 @@
         }
         self.busy.push(machine);
         self.ends
-            .push((now + Duration::from_millis(lasts), end, machine));
+            .push((now + Duration::from_millis(duration), end, machine));
         Some(begin)
     }
 
-    fn store(&mut self) -> Faults {
-        let forms = [
+    fn store_faults(&mut self) -> Faults {
+        let variants = [
             Faults {
                 down: Some(Down::Refuse),
                 ..Faults::default()
@@ -181,6 +182,6 @@
                 ..Faults::default()
             },
         ];
-        *forms.choose(&mut self.random).unwrap()
+        *variants.choose(&mut self.random).unwrap()
     }
 }
--- a/crates/node/tests/soak_run/mod.rs
+++ b/crates/node/tests/soak_run/mod.rs
@@ -1,4 +1,4 @@
-//! One seed of the soak: the deployment, its faults and its callers.
+//! One run of the soak test: the deployment, its faults and its callers.
 
 mod callers;
 mod faults;
@@ -22,7 +22,7 @@
     (22, "pedigree"),
     (23, "pedigree"),
 ];
-/// Address, port and service of each route; the last one comes and goes.
+/// Address, port and service of each route; the last one is removed and added again during the run.
 pub const ROUTES: [(&str, u16, &str); 3] = [
     ("198.18.0.1", 443, "namedesk"),
     ("198.18.0.2", 443, "pedigree"),
@@ -30,8 +30,9 @@
 ];
 const FIRST_NET: u64 = 100;
 const NETS: u64 = 100;
-// Time for the last fault to pass: a silent connection to the store, and the hosts to be heard.
-const SETTLE: Duration = Duration::from_secs(6);
+// Time to recover from the last fault: to detect a dead connection to the store, and to receive
+// reports of all hosts.
+const RECOVERY_TIME: Duration = Duration::from_secs(6);
 
 pub struct Soak {
     nodes: Nodes,
@@ -73,13 +74,13 @@
         soak
     }
 
-    /// Plays callers and faults for some seconds, then lets the last faults pass.
+    /// Runs callers and faults for some seconds, then waits for the last faults to end.
     pub fn run(&mut self, seconds: u64) {
         let end = Instant::now() + Duration::from_secs(seconds);
         while Instant::now() < end || self.schedule.is_pending() {
             let now = Instant::now();
             while let Some(action) = self.schedule.next(now, now < end) {
-                self.act(now, action);
+                self.apply(now, action);
             }
             let up = self
                 .balancers
@@ -90,10 +91,10 @@
         }
     }
 
-    /// Checks that all flows whose backend servers lived are answered, and new ones are taken.
-    pub fn settle(&mut self) {
+    /// Checks that all flows of running backend servers are answered, and new flows accepted.
+    pub fn check_recovery(&mut self) {
         self.await_ready();
-        let end = Instant::now() + SETTLE;
+        let end = Instant::now() + RECOVERY_TIME;
         while Instant::now() < end {
             self.callers.step(Instant::now(), &BALANCERS);
         }
@@ -113,14 +114,14 @@
         }
     }
 
-    fn act(&mut self, now: Instant, action: Action) {
+    fn apply(&mut self, now: Instant, action: Action) {
         *self.counts.entry(action.name()).or_default() += 1;
         match action {
             Action::KillBalancer(host) => self.balancers[&host] = None,
             Action::StopBalancer(host) => {
                 if let Some(mut process) = self.balancers[&host].take() {
                     process.terminate();
-                    // Turned away at once, as the routers do; the process ends by itself.
+                    // Callers avoid it at once, as the routers do; the process ends by itself.
                     std::thread::spawn(move || assert!(process.ended_well()));
                 }
             }
@@ -144,7 +145,7 @@
             }
             Action::RestartBackend(host, born) => {
                 self.backends[&host] = None;
-                self.callers.lose_host(now, host);
+                self.callers.record_end(now, host);
                 let backend = Backend::start(&self.nodes, host, service_of(host), born);
                 self.backends[&host] = Some(backend);
             }
