--- a/crates/store/src/backoff.rs
+++ b/crates/store/src/backoff.rs
@@ -6,9 +6,10 @@
 
 use crate::Limits;
 
-/// Pauses between the attempts of one call: jittered, doubling up to a cap.
+/// Exponential backoff with jitter between the attempts of one call.
 #[derive(Debug)]
 pub(crate) struct Backoff {
+    /// End of the time for the whole call.
     deadline: Instant,
     pause: Span,
     max_pause: Span,
@@ -23,9 +24,9 @@
         }
     }
 
-    /// Waits before the next attempt; false when no time is left for one.
+    /// Waits before the next attempt; returns false if that would exceed the deadline.
     pub(crate) async fn pause(&mut self, random: f64) -> bool {
-        // Between half and all of the pause, so that processes that failed together spread out.
+        // Half to all of the pause, so that processes that failed together retry at different times.
         let pause = duration(self.pause.scale(0.5 + random / 2.0));
         self.pause = (self.pause * 2).min(self.max_pause);
         if Instant::now() + pause >= self.deadline {
@@ -40,6 +41,6 @@
     Duration::from_micros(span.as_micros())
 }
 
-pub(crate) fn fraction(random: &mut impl Rng) -> f64 {
+pub(crate) fn random_fraction(random: &mut impl Rng) -> f64 {
     random.random_range(0.0..1.0)
 }
--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -1,27 +1,27 @@
 use indexmap::IndexSet;
 use usher_config::{Cache, Object};
-use usher_platform::{Listing, Object as Stored, Watched};
+use usher_platform::{Listing, Object as PlatformObject, Watched};
 use usher_types::Version;
 
-use crate::{PlatformError, Record};
+use crate::{PlatformError, StoredObject};
 
-/// Objects above a version, in version order and with tombstones.
+/// Objects changed after a version, in version order and including tombstones.
 #[derive(Debug)]
 pub struct Batch {
-    /// The version that was asked from.
+    /// Version after which changes were requested.
     pub after: Version,
-    /// Version of the store's snapshot; nothing up to it is missing.
+    /// Version of the store up to which the batch is complete.
     pub through: Version,
-    /// The objects that could be read.
+    /// Objects that could be decoded.
     pub objects: Vec<Object>,
-    /// Objects whose value could not be read; one of them does not hold back the others.
+    /// Errors of the objects that could not be decoded; the others are still returned.
     pub unreadable: Vec<PlatformError>,
 }
 
 impl Batch {
-    /// Passes the objects to a cache, and returns how many were newer.
+    /// Adds the objects to a cache, and returns how many of them were newer.
     ///
-    /// Only for a batch of all kinds, as the cache counts it complete.
+    /// The batch must cover all kinds: the cache then counts as complete up to `through`.
     ///
     /// ```
     /// use usher_config::Cache;
@@ -41,7 +41,7 @@
         cache.adopt_since(self.after, self.through, self.objects)
     }
 
-    /// A batch from the beginning, with nothing in it yet.
+    /// Creates an empty batch of the changes since the first version.
     pub(crate) fn empty(through: Version) -> Self {
         Self {
             after: Version::default(),
@@ -51,44 +51,44 @@
         }
     }
 
-    /// Adds one page of a list.
+    /// Adds the objects of one page of a list.
     pub(crate) fn add(&mut self, page: Listing) {
-        self.count_foreign(page.ignored);
+        self.report_ignored(page.ignored);
         for stored in page.objects {
-            self.take(stored, None);
+            self.add_object(stored, None);
         }
     }
 
-    /// The last change of each object since a version.
+    /// Creates a batch with the last change of each object since a version.
     pub(crate) fn changes(after: Version, watched: Watched) -> Self {
         let mut batch = Self::empty(watched.at.max(after));
         batch.after = after;
-        batch.count_foreign(watched.ignored);
+        batch.report_ignored(watched.ignored);
         let mut seen = IndexSet::new();
         for (stored, removed) in watched.changes.into_iter().rev() {
             if seen.insert(stored.name.clone()) {
-                // A removal has no version of its own; it happened at `through` or before.
-                batch.take(stored, removed.then_some(watched.at));
+                // A removal carries only the object's last version; it happened at `through` or before.
+                batch.add_object(stored, removed.then_some(watched.at));
             }
         }
         batch.objects.sort_by_key(|object| object.version);
         batch
     }
 
-    fn take(&mut self, stored: Stored, removed: Option<Version>) {
-        let record = Record::try_from(stored).map(|record| match removed {
-            Some(version) => record.tombstone(version),
-            None => record,
+    fn add_object(&mut self, stored: PlatformObject, removed: Option<Version>) {
+        let decoded = StoredObject::try_from(stored).map(|decoded| match removed {
+            Some(version) => decoded.tombstone(version),
+            None => decoded,
         });
-        match record.and_then(Record::object) {
+        match decoded.and_then(StoredObject::object) {
             Ok(object) => self.objects.push(object),
-            Err(fault) => self.unreadable.push(fault),
+            Err(error) => self.unreadable.push(error),
         }
     }
 
-    fn count_foreign(&mut self, count: usize) {
+    fn report_ignored(&mut self, count: usize) {
         if count > 0 {
-            let text = format!("{count} entries that are no objects");
+            let text = format!("{count} entries are not objects");
             self.unreadable.push(PlatformError::Unreadable(text));
         }
     }
--- a/crates/store/src/codec.rs
+++ b/crates/store/src/codec.rs
@@ -1,10 +1,10 @@
 use serde_json::Value as Json;
 use usher_config::{Kind, Value};
 
-/// The JSON text of a value, as the store keeps it.
+/// Encodes a value as the JSON text that is stored.
 ///
 /// # Errors
-/// When a number has no JSON form.
+/// A number has no JSON representation.
 ///
 /// ```
 /// let value = usher_types::Roster::default().into();
@@ -21,10 +21,10 @@
     }
 }
 
-/// The typed value of a kind, from its JSON.
+/// Decodes the JSON of a value of the given kind.
 ///
 /// # Errors
-/// When a field is missing, unknown or not valid for its type.
+/// A field is missing, unknown or not valid for its type.
 ///
 /// ```
 /// use usher_config::Kind;
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -2,7 +2,7 @@
 use usher_config::{Conflict, ObjectKey, WriteId};
 use usher_types::ByteCount;
 
-/// A call to the store that failed (`MU-3xxx`).
+/// Failure of a call to the store (`MU-3xxx`).
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum PlatformError {
@@ -14,10 +14,10 @@
         /// Failure of the last attempt.
         cause: String,
     },
-    /// Another write came first; nothing was overwritten.
+    /// Another write changed the object first; nothing was overwritten.
     #[error("MU-3002: conflict, {0}")]
     Conflict(Box<Conflict>),
-    /// A write was sent and its outcome could not be read back in time.
+    /// A write was sent, but its outcome could not be determined in time.
     #[error(
         "MU-3003: outcome of write {id} to {key} is unknown: {cause}; read the object before \
          writing it again"
@@ -25,39 +25,39 @@
     Unknown {
         /// The object.
         key: ObjectKey,
-        /// Id of the write; the object shows it if the write took effect.
+        /// Id of the write; the object contains it if the write took effect.
         id: WriteId,
         /// Failure of the last attempt.
         cause: String,
     },
-    /// The value is larger than the store takes.
+    /// The value is larger than the store accepts.
     #[error("MU-3004: {key} is {size} bytes long, the store takes {limit}")]
     TooLarge {
         /// The object.
         key: ObjectKey,
         /// Size of the encoded value.
         size: ByteCount,
-        /// Largest size.
+        /// Largest size that the store accepts.
         limit: ByteCount,
     },
-    /// The store refused the request itself.
+    /// The store answered with a status that the client does not handle.
     #[error("MU-3005: the store answered with status {0}")]
     Status(u16),
-    /// The answer is not one of the platform's store.
+    /// The answer is not in the format of the platform's store.
     #[error("MU-3006: the store's answer cannot be read: {0}")]
     Unreadable(String),
     /// The value of one object is not valid for its kind.
     #[error("MU-3007: the value of {key} cannot be read: {cause}")]
     Value {
-        /// Kind and name as the store has them.
+        /// Kind and name of the object, which may not be a valid key.
         key: String,
-        /// What is wrong with the value.
+        /// Message of the decoder.
         cause: String,
     },
 }
 
 impl PlatformError {
-    /// The error's number, for example `MU-3005`.
+    /// Returns the error number, for example `MU-3005`.
     ///
     /// ```
     /// assert_eq!(usher_store::PlatformError::Status(418).code(), "MU-3005");
--- a/crates/store/src/exchange.rs
+++ b/crates/store/src/exchange.rs
@@ -5,8 +5,8 @@
 use usher_platform::{CallError, Client, Listing, Reply, Request, Watched};
 use usher_types::{Span, Version};
 
-use crate::record::KIND;
-use crate::{Batch, PlatformError, Record};
+use crate::stored_object::KIND;
+use crate::{Batch, PlatformError, StoredObject};
 
 pub(crate) const OK: u16 = 200;
 pub(crate) const CREATED: u16 = 201;
@@ -14,21 +14,21 @@
 pub(crate) const CONFLICT: u16 = 409;
 const GONE: u16 = 410;
 
-/// Sends single requests, without repeating any.
+/// Sends each request once, over a connection of its own.
 #[derive(Debug, Clone)]
 pub(crate) struct Exchange {
     address: SocketAddrV4,
     limit: Span,
 }
 
-/// Why a request got no usable answer.
+/// Reason why a request got no usable answer.
 #[derive(Debug)]
 pub(crate) enum Failure {
-    /// There was no connection, so the store did not see the request.
+    /// There was no connection, so the store did not receive the request.
     NotSent(String),
-    /// The store may have acted on the request.
+    /// The outcome is unknown: the store may have executed the request.
     NoAnswer(String),
-    /// The store answered; a repetition would be answered the same way.
+    /// The store answered; a retry would get the same answer.
     Final(PlatformError),
 }
 
@@ -37,7 +37,7 @@
         Self { address, limit }
     }
 
-    /// Sends one request over a connection of its own.
+    /// Sends one request; `wait` extends the time limit for a watch.
     pub(crate) async fn send(&self, request: &Request, wait: Span) -> Result<Reply, Failure> {
         let call = Client::new(self.address)
             .call(request, self.limit + wait)
@@ -47,23 +47,23 @@
                 Err(Failure::NoAnswer(format!("status {}", reply.status)))
             }
             Ok(reply) => Ok(reply),
-            Err(fault @ CallError::Connect(_)) => Err(Failure::NotSent(fault.to_string())),
-            Err(fault) => Err(Failure::NoAnswer(fault.to_string())),
+            Err(error @ CallError::Connect(_)) => Err(Failure::NotSent(error.to_string())),
+            Err(error) => Err(Failure::NoAnswer(error.to_string())),
         }
     }
 
     /// Reads one object; `None` if it never existed.
-    pub(crate) async fn get(&self, key: &ObjectKey) -> Result<Option<Record>, Failure> {
-        let request = Request::get(KIND, &Record::name(key));
+    pub(crate) async fn get(&self, key: &ObjectKey) -> Result<Option<StoredObject>, Failure> {
+        let request = Request::get(KIND, &StoredObject::name(key));
         let reply = self.send(&request, Span::ZERO).await?;
         match reply.status {
-            OK => Ok(Some(Record::parse(&reply.body)?)),
+            OK => Ok(Some(StoredObject::parse(&reply.body)?)),
             NOT_FOUND => Ok(None),
             status => Err(PlatformError::Status(status).into()),
         }
     }
 
-    /// Reads what has changed since a version, or all objects if the store no longer knows.
+    /// Reads the changes since a version, or all objects if the history is gone.
     pub(crate) async fn since(&self, since: Version, wait: Span) -> Result<Batch, Failure> {
         if since == Version::default() {
             return self.list().await;
@@ -80,7 +80,7 @@
         }
     }
 
-    // What changes behind the first page shows in the next watch.
+    // The batch has the version of the first page, so the next watch reports later changes.
     async fn list(&self) -> Result<Batch, Failure> {
         let mut batch: Option<Batch> = None;
         let mut after: Option<String> = None;
@@ -105,11 +105,11 @@
 }
 
 impl From<PlatformError> for Failure {
-    fn from(fault: PlatformError) -> Self {
-        Self::Final(fault)
+    fn from(error: PlatformError) -> Self {
+        Self::Final(error)
     }
 }
 
-fn unreadable(fault: impl Display) -> Failure {
-    Failure::Final(PlatformError::Unreadable(fault.to_string()))
+fn unreadable(error: impl Display) -> Failure {
+    Failure::Final(PlatformError::Unreadable(error.to_string()))
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,5 +1,7 @@
-//! The project's own objects in the platform's store: conditional writes whose outcome is found out,
-//! lists and watches.
+//! Client for the project's own objects in the platform's store.
+//!
+//! It offers conditional writes, whose outcome is determined even if the answer is lost, lists and
+//! watches.
 
 mod backoff;
 mod batch;
@@ -7,9 +9,9 @@
 mod error;
 mod exchange;
 mod limits;
-mod record;
+mod retry_client;
 mod store;
-mod transport;
+mod stored_object;
 
 pub use batch::Batch;
 pub use codec::{decode, encode};
@@ -17,4 +19,4 @@
 pub use limits::Limits;
 pub use store::Store;
 
-pub(crate) use record::Record;
+pub(crate) use stored_object::StoredObject;
--- a/crates/store/src/limits.rs
+++ b/crates/store/src/limits.rs
@@ -1,6 +1,6 @@
 use usher_types::{ByteCount, Span};
 
-/// Times and sizes that bound the calls to the store.
+/// Limits of time and size for calls to the store.
 ///
 /// ```
 /// use usher_store::Limits;
@@ -9,15 +9,15 @@
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Time for one request, in addition to the wait of a watch.
+    /// Time for one request, not counting the wait of a watch.
     pub attempt: Span,
-    /// Time for a call with all its attempts.
+    /// Time for a call with all its attempts, not counting the wait of a watch.
     pub total: Span,
-    /// Longest pause after the first failed attempt; it doubles with each further one.
+    /// Longest pause after the first failed attempt; it doubles with each further failure.
     pub first_pause: Span,
     /// Longest pause between two attempts.
     pub max_pause: Span,
-    /// Largest encoded value.
+    /// Largest size of an encoded value.
     pub value: ByteCount,
 }
 
--- a/crates/store/src/transport.rs
+++ b/crates/store/src/retry_client.rs
@@ -6,21 +6,21 @@
 use usher_config::{Answer, Change, Lost, ObjectKey, Pending, Step, Write, WriteId};
 use usher_types::{ByteCount, Span, Version};
 
-use crate::backoff::{Backoff, fraction};
+use crate::backoff::{Backoff, random_fraction};
 use crate::exchange::{CONFLICT, CREATED, Exchange, Failure, NOT_FOUND, OK};
-use crate::record::{expected, write_request};
-use crate::{Batch, Limits, PlatformError, Record, encode};
+use crate::stored_object::{expected_version, write_request};
+use crate::{Batch, Limits, PlatformError, StoredObject, encode};
 
-/// Repeats requests within the limits until their outcome is known.
+/// Retries requests within the limits until their outcome is known.
 #[derive(Debug, Clone)]
-pub(crate) struct Transport {
+pub(crate) struct RetryClient {
     address: SocketAddrV4,
     limits: Limits,
     exchange: Exchange,
     random: Arc<Mutex<Pcg64>>,
 }
 
-impl Transport {
+impl RetryClient {
     pub(crate) fn new(address: SocketAddrV4, limits: Limits) -> Self {
         Self {
             address,
@@ -39,22 +39,22 @@
         self.check_size(&write.change)?;
         let mut backoff = Backoff::new(&self.limits, Span::ZERO);
         let mut pending = Pending::new(write);
-        let mut lost = false;
+        let mut answer_lost = false;
         loop {
-            let answer = match self.transmit(pending.write()).await {
+            let answer = match self.try_write(pending.write()).await {
                 Ok(answer) => answer,
-                Err(Failure::Final(fault)) => return Err(fault),
+                Err(Failure::Final(error)) => return Err(error),
                 Err(Failure::NotSent(cause)) => {
                     if backoff.pause(self.jitter()).await {
                         continue;
                     }
-                    return Err(self.gave_up(pending.write(), lost, cause));
+                    return Err(self.final_error(pending.write(), answer_lost, cause));
                 }
                 Err(Failure::NoAnswer(_)) => Answer::Lost,
             };
             let step = match pending.answered(answer) {
                 Step::ReadBack(unanswered) => {
-                    lost = true;
+                    answer_lost = true;
                     self.read_back(unanswered, &mut backoff).await?
                 }
                 step => step,
@@ -65,14 +65,14 @@
                     return Err(PlatformError::Conflict(Box::new(conflict)));
                 }
                 Step::Retry(pending) => pending,
-                Step::ReadBack(_) => unreachable!("a read-back settles a lost answer"),
+                Step::ReadBack(_) => unreachable!("reading back ends with another step"),
             };
         }
     }
 
-    // A deleted object stands in the store; one that may not exist replaces it.
-    async fn transmit(&self, write: &Write) -> Result<Answer, Failure> {
-        let replaced = expected(write.change.condition);
+    // A deleted object remains in the store as a tombstone, which a creation must replace.
+    async fn try_write(&self, write: &Write) -> Result<Answer, Failure> {
+        let replaced = expected_version(write.change.condition);
         let answer = self.attempt(write, replaced).await?;
         match &answer {
             Answer::Refused(Some(current))
@@ -90,14 +90,14 @@
         let request = write_request(write, replaced)?;
         let reply = self.exchange.send(&request, Span::ZERO).await?;
         match reply.status {
-            // An answer that cannot be read tells as little as one that is lost.
-            OK | CREATED => Ok(match Record::parse(&reply.body) {
-                Ok(record) => Answer::Written(record.version),
+            // An answer that cannot be decoded says as little as a lost one.
+            OK | CREATED => Ok(match StoredObject::parse(&reply.body) {
+                Ok(stored) => Answer::Written(stored.version),
                 Err(_unreadable) => Answer::Lost,
             }),
-            // Without the object in it, a refusal does not tell whether the write itself stands there.
-            CONFLICT => match Record::parse(&reply.body) {
-                Ok(record) => Ok(Answer::Refused(Some(record.object()?))),
+            // Without the object, a refusal does not tell whether an earlier attempt created it.
+            CONFLICT => match StoredObject::parse(&reply.body) {
+                Ok(stored) => Ok(Answer::Refused(Some(stored.object()?))),
                 Err(_unreadable) => Ok(Answer::Lost),
             },
             NOT_FOUND => Ok(Answer::Refused(None)),
@@ -114,19 +114,20 @@
         let mut cause = "no answer".to_owned();
         while backoff.pause(self.jitter()).await {
             match self.exchange.get(&key).await {
-                Ok(record) => {
-                    let current = record.map(Record::object).transpose()?;
+                Ok(stored) => {
+                    let current = stored.map(StoredObject::object).transpose()?;
                     return Ok(pending.read(current));
                 }
-                Err(Failure::NotSent(fault) | Failure::NoAnswer(fault)) => cause = fault,
-                Err(Failure::Final(fault)) => cause = fault.to_string(),
+                Err(Failure::NotSent(error) | Failure::NoAnswer(error)) => cause = error,
+                Err(Failure::Final(error)) => cause = error.to_string(),
             }
         }
-        Err(self.gave_up(pending.write(), true, cause))
+        Err(self.final_error(pending.write(), true, cause))
     }
 
-    fn gave_up(&self, write: &Write, lost: bool, cause: String) -> PlatformError {
-        if lost {
+    // The error after the last attempt; a write with a lost answer has an unknown outcome.
+    fn final_error(&self, write: &Write, answer_lost: bool, cause: String) -> PlatformError {
+        if answer_lost {
             return PlatformError::Unknown {
                 key: write.change.key.clone(),
                 id: write.id,
@@ -142,36 +143,36 @@
     }
 
     /// Reads one object; `None` if it never existed.
-    pub(crate) async fn get(&self, key: &ObjectKey) -> Result<Option<Record>, PlatformError> {
+    pub(crate) async fn get(&self, key: &ObjectKey) -> Result<Option<StoredObject>, PlatformError> {
         let mut backoff = Backoff::new(&self.limits, Span::ZERO);
         loop {
             let found = self.exchange.get(key).await;
-            if let Some(found) = self.settle(found, &mut backoff).await? {
+            if let Some(found) = self.found_or_pause(found, &mut backoff).await? {
                 return Ok(found);
             }
         }
     }
 
-    /// Reads what has changed since a version; waits for a change.
+    /// Reads the changes since a version; waits up to `wait` for one.
     pub(crate) async fn since(&self, since: Version, wait: Span) -> Result<Batch, PlatformError> {
         let mut backoff = Backoff::new(&self.limits, wait);
         loop {
             let found = self.exchange.since(since, wait).await;
-            if let Some(found) = self.settle(found, &mut backoff).await? {
+            if let Some(found) = self.found_or_pause(found, &mut backoff).await? {
                 return Ok(found);
             }
         }
     }
 
-    // What a read found; `None` if it is to be repeated, after a pause.
-    async fn settle<T>(
+    // Returns what a read found, or `None` after a pause if the read should be retried.
+    async fn found_or_pause<T>(
         &self,
         found: Result<T, Failure>,
         backoff: &mut Backoff,
     ) -> Result<Option<T>, PlatformError> {
         let cause = match found {
             Ok(found) => return Ok(Some(found)),
-            Err(Failure::Final(fault)) => return Err(fault),
+            Err(Failure::Final(error)) => return Err(error),
             Err(Failure::NotSent(cause) | Failure::NoAnswer(cause)) => cause,
         };
         if backoff.pause(self.jitter()).await {
@@ -194,6 +195,6 @@
     }
 
     fn jitter(&self) -> f64 {
-        fraction(&mut *self.random.lock().unwrap_or_else(PoisonError::into_inner))
+        random_fraction(&mut *self.random.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -3,12 +3,13 @@
 use usher_config::{Change, Condition, Kind, Object, ObjectKey, Value, Write, WriteId};
 use usher_types::{Span, Version};
 
-use crate::transport::Transport;
-use crate::{Batch, Limits, PlatformError, Record};
+use crate::retry_client::RetryClient;
+use crate::{Batch, Limits, PlatformError, StoredObject};
 
-/// The project's own objects in the platform's store.
+/// Client for the project's own objects in the platform's store.
 ///
-/// Calls are repeated within the limits; the outcome of a write whose answer was lost is read back.
+/// Failed calls are retried within the limits. If the answer to a write is lost, the client reads the
+/// object back to determine the outcome.
 ///
 /// ```no_run
 /// use usher_config::Kind;
@@ -21,22 +22,22 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct Store {
-    transport: Transport,
+    client: RetryClient,
 }
 
 impl Store {
-    /// A client of the store at an address; it connects at the first call.
+    /// Creates a client of the store at an address; it connects at the first call.
     ///
     /// ```
     /// use usher_store::{Limits, Store};
     /// let store = Store::new("127.0.0.1:7000".parse().unwrap(), Limits::default());
     /// ```
     pub fn new(address: SocketAddrV4, limits: Limits) -> Self {
-        let transport = Transport::new(address, limits);
-        Self { transport }
+        let client = RetryClient::new(address, limits);
+        Self { client }
     }
 
-    /// A random id for a write.
+    /// Returns a random id for a write.
     ///
     /// ```
     /// use usher_store::{Limits, Store};
@@ -44,10 +45,10 @@
     /// assert_ne!(store.write_id(), store.write_id());
     /// ```
     pub fn write_id(&self) -> WriteId {
-        self.transport.write_id()
+        self.client.write_id()
     }
 
-    /// Reads one object, which may be a tombstone; `None` when it never existed.
+    /// Reads one object, which may be a tombstone; `None` if it never existed.
     ///
     /// # Errors
     /// `MU-3001`, `MU-3005`, `MU-3006` or `MU-3007`.
@@ -60,11 +61,11 @@
     /// # }).unwrap();
     /// ```
     pub async fn get(&self, key: &ObjectKey) -> Result<Option<Object>, PlatformError> {
-        let record = self.transport.get(key).await?;
-        record.map(Record::object).transpose()
+        let stored = self.client.get(key).await?;
+        stored.map(StoredObject::object).transpose()
     }
 
-    /// Reads all objects above a version, of one kind or of all.
+    /// Reads all objects changed after a version, of one kind or of all kinds.
     ///
     /// # Errors
     /// `MU-3001`, `MU-3005` or `MU-3006`.
@@ -80,7 +81,7 @@
         self.watch(kind, since, Span::ZERO).await
     }
 
-    /// Like `list`, but waits up to `wait` until there is such an object.
+    /// Like `list`, but waits up to `wait` for a change if there is none yet.
     ///
     /// # Errors
     /// `MU-3001`, `MU-3005` or `MU-3006`.
@@ -99,7 +100,7 @@
         since: Version,
         wait: Span,
     ) -> Result<Batch, PlatformError> {
-        let mut batch = self.transport.since(since, wait).await?;
+        let mut batch = self.client.since(since, wait).await?;
         if let Some(kind) = kind {
             batch.objects.retain(|object| object.kind == kind);
         }
@@ -135,7 +136,7 @@
         .await
     }
 
-    /// Deletes an object, if it is at the version.
+    /// Deletes an object, if it is still at the version.
     ///
     /// # Errors
     /// See `write`.
@@ -162,8 +163,8 @@
     /// Makes a change under a new random write id.
     ///
     /// # Errors
-    /// `MU-3001` to `MU-3006`: after `MU-3003` the change may or may not be in force, after the
-    /// others it is not.
+    /// `MU-3001` to `MU-3006`. After `MU-3003` the change may have taken effect; after the others it
+    /// has not.
     ///
     /// ```no_run
     /// # async_std::task::block_on(async {
@@ -197,6 +198,6 @@
     /// # }).unwrap();
     /// ```
     pub async fn write_as(&self, write: Write) -> Result<Version, PlatformError> {
-        self.transport.write(write).await
+        self.client.write(write).await
     }
 }
--- a/crates/store/src/record.rs
+++ b/crates/store/src/stored_object.rs
@@ -1,19 +1,19 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value as Json;
 use usher_config::{Condition, Object, ObjectKey, Write};
-use usher_platform::{Object as Stored, Request};
+use usher_platform::{Object as PlatformObject, Request};
 use usher_types::Version;
 
 use crate::{PlatformError, decode, encode};
 
-/// The kind of the store under which all objects of the project stand, so that one watch sees all.
+/// Kind of all objects of the project; one watch covers them all.
 pub(crate) const KIND: &str = "marigoldusher";
-// Kinds have no dot in their names.
+// Separates kind and name in a stored name; the names of kinds have no dot.
 const SEPARATOR: char = '.';
 
-/// An object as the store holds it; its value need not be readable.
+/// An object as stored; its value is not decoded yet.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct Record {
+pub(crate) struct StoredObject {
     key: ObjectKey,
     pub(crate) version: Version,
     spec: Spec,
@@ -22,30 +22,30 @@
 /// Content of an object in the store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 struct Spec {
-    /// Write that made this version. Other tools may leave it out or write anything; it then equals
-    /// none of ours.
+    /// Id of the write that made this version. Other tools may omit it or write anything, which then
+    /// matches no id of this client.
     #[serde(default)]
     write_id: String,
-    /// `None` marks an object that was deleted.
+    /// `None` marks a deleted object.
     #[serde(default)]
     value: Option<Json>,
 }
 
-impl Record {
-    /// Name in the store of an object.
+impl StoredObject {
+    /// Returns the name under which an object is stored.
     pub(crate) fn name(key: &ObjectKey) -> String {
         format!("{}{SEPARATOR}{}", key.kind, key.name)
     }
 
-    /// Reads the object in an answer.
+    /// Decodes the object in the body of an answer.
     pub(crate) fn parse(body: &[u8]) -> Result<Self, PlatformError> {
-        let stored = Stored::parse(body);
+        let stored = PlatformObject::parse(body);
         stored
-            .map_err(|fault| PlatformError::Unreadable(fault.to_string()))?
+            .map_err(|error| PlatformError::Unreadable(error.to_string()))?
             .try_into()
     }
 
-    /// A deleted object, at the version that its deletion made.
+    /// Turns the object into a tombstone at the version of its deletion.
     pub(crate) fn tombstone(mut self, version: Version) -> Self {
         self.spec.value = None;
         self.version = version;
@@ -56,7 +56,7 @@
     pub(crate) fn object(self) -> Result<Object, PlatformError> {
         let kind = self.key.kind;
         let value = self.spec.value.map(|json| decode(kind, json)).transpose();
-        let value = value.map_err(|cause| fault(&self.key.to_string(), &cause))?;
+        let value = value.map_err(|cause| value_error(&self.key.to_string(), &cause))?;
         Ok(Object {
             kind,
             name: self.key.name,
@@ -67,13 +67,13 @@
     }
 }
 
-impl TryFrom<Stored> for Record {
+impl TryFrom<PlatformObject> for StoredObject {
     type Error = PlatformError;
 
-    fn try_from(stored: Stored) -> Result<Self, PlatformError> {
+    fn try_from(stored: PlatformObject) -> Result<Self, PlatformError> {
         let path = stored.name.replacen(SEPARATOR, "/", 1);
-        let key = path.parse().map_err(|cause| fault(&path, &cause))?;
-        let spec = Spec::deserialize(stored.spec).map_err(|cause| fault(&path, &cause))?;
+        let key = path.parse().map_err(|cause| value_error(&path, &cause))?;
+        let spec = Spec::deserialize(stored.spec).map_err(|cause| value_error(&path, &cause))?;
         Ok(Self {
             key,
             version: stored.version,
@@ -82,37 +82,39 @@
     }
 }
 
-/// The request that makes a change, if the object is at the version, or does not exist.
+/// Encodes the request for a write.
+///
+/// It replaces the object at version `replaced`, or creates it if that is `None`.
 pub(crate) fn write_request(
     write: &Write,
     replaced: Option<Version>,
 ) -> Result<Request, PlatformError> {
     let change = &write.change;
-    let unfit = |cause: serde_json::Error| fault(&change.key.to_string(), &cause);
+    let encode_error = |cause: serde_json::Error| value_error(&change.key.to_string(), &cause);
     let value = change.value.as_ref().map(encode).transpose();
-    let value = value.map_err(unfit)?;
+    let value = value.map_err(encode_error)?;
     let value = value.map(|bytes| serde_json::from_slice(&bytes));
     let spec = Spec {
         write_id: write.id.to_string(),
-        value: value.transpose().map_err(unfit)?,
+        value: value.transpose().map_err(encode_error)?,
     };
-    let spec = serde_json::to_value(spec).map_err(unfit)?;
-    let name = Record::name(&change.key);
+    let spec = serde_json::to_value(spec).map_err(encode_error)?;
+    let name = StoredObject::name(&change.key);
     Ok(match replaced {
         Some(version) => Request::replace(KIND, &name, version, &spec),
         None => Request::create(KIND, &name, &spec),
     })
 }
 
-/// The version that a write expects the object to have.
-pub(crate) fn expected(condition: Condition) -> Option<Version> {
+/// Returns the version that the object must have; `None` if it must not exist.
+pub(crate) fn expected_version(condition: Condition) -> Option<Version> {
     match condition {
         Condition::Absent => None,
         Condition::Version(version) => Some(version),
     }
 }
 
-fn fault(key: &str, cause: &dyn std::fmt::Display) -> PlatformError {
+fn value_error(key: &str, cause: &dyn std::fmt::Display) -> PlatformError {
     PlatformError::Value {
         key: key.to_owned(),
         cause: cause.to_string(),
--- a/crates/store/tests/contract.rs
+++ b/crates/store/tests/contract.rs
@@ -1,4 +1,4 @@
-//! Contract of the client with the platform's store, fault by fault.
+//! Tests the client against a stand-in of the platform's store with injected faults.
 
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
@@ -12,15 +12,15 @@
 use usher_store::{Limits, PlatformError, Store};
 use usher_types::{Profile, Span, Version};
 
-// The kind under which the store has the project's objects.
+// Kind of the project's objects in the store.
 const KIND: &str = "marigoldusher";
 
-struct Bench {
+struct Fixture {
     server: standin::Store,
     store: Store,
 }
 
-impl Bench {
+impl Fixture {
     fn new() -> Self {
         let server = standin::Store::start("127.0.0.1:0".parse().unwrap());
         let store = Store::new(address(&server), limits());
@@ -39,7 +39,7 @@
             .unwrap()
     }
 
-    // What another tool writes, past the client.
+    // Writes an object as another tool would, without the client.
     async fn write(&self, name: &str, spec: &Json) -> u16 {
         let request = Request::create(KIND, name, spec);
         let mut client = Client::new(address(&self.server));
@@ -82,12 +82,12 @@
     }
 }
 
-// Guards against a second creation or a write on an old version that overwrites silently.
+// Guards against a second creation, or a write to an old version, that overwrites silently.
 #[async_std::test]
 async fn conditional_writes_do_not_overwrite() {
-    let bench = Bench::new();
-    let first = bench.create("fast").await;
-    let again = bench
+    let fixture = Fixture::new();
+    let first = fixture.create("fast").await;
+    let again = fixture
         .store
         .put(key("fast"), Condition::Absent, profile(6))
         .await;
@@ -96,127 +96,130 @@
         assert!(!conflict.uncertain);
     });
     let second = Condition::Version(first);
-    let second = bench
+    let second = fixture
         .store
         .put(key("fast"), second, profile(7))
         .await
         .unwrap();
-    let late = bench
+    let late = fixture
         .store
         .put(key("fast"), Condition::Version(first), profile(8))
         .await;
     assert_matches!(late, Err(PlatformError::Conflict(_)));
-    let object = bench.store.get(&key("fast")).await.unwrap();
+    let object = fixture.store.get(&key("fast")).await.unwrap();
     assert_eq!(object.as_ref().map(|object| object.version), Some(second));
     assert_eq!(hunt(object), Some(Span::from_millis(7)));
 }
 
-// Guards against a deleted object that cannot be told from one that never existed.
+// Guards against a deleted object that looks like one that never existed.
 #[async_std::test]
 async fn tombstones_are_seen_and_replaced() {
-    let bench = Bench::new();
-    assert_eq!(bench.store.get(&key("fast")).await.unwrap(), None);
-    let created = bench.create("fast").await;
-    let deleted = bench.store.delete(key("fast"), created).await.unwrap();
-    let tombstone = bench.store.get(&key("fast")).await.unwrap().unwrap();
+    let fixture = Fixture::new();
+    assert_eq!(fixture.store.get(&key("fast")).await.unwrap(), None);
+    let created = fixture.create("fast").await;
+    let deleted = fixture.store.delete(key("fast"), created).await.unwrap();
+    let tombstone = fixture.store.get(&key("fast")).await.unwrap().unwrap();
     assert_eq!((tombstone.version, tombstone.value), (deleted, None));
-    let listed = bench.store.list(None, Version::default()).await.unwrap();
+    let listed = fixture.store.list(None, Version::default()).await.unwrap();
     assert_eq!(listed.objects.len(), 1);
-    assert!(bench.create("fast").await > deleted);
+    assert!(fixture.create("fast").await > deleted);
 }
 
-// Guards against a write that is made twice, or reported as failed, because its answer was lost.
+// Guards against a write that is repeated, or reported as failed, because its answer was lost.
 #[async_std::test]
 async fn lost_answers_are_read_back() {
-    let bench = Bench::new();
-    bench.faults(json!({ "lose_answers": 1 }));
-    let version = bench.create("fast").await;
+    let fixture = Fixture::new();
+    fixture.faults(json!({ "lose_answers": 1 }));
+    let version = fixture.create("fast").await;
     assert_eq!(version, Version::new(1));
-    assert_eq!(bench.server.stats().writes, 1);
-    bench.faults(json!({ "lose_answers": 1 }));
-    let deleted = bench.store.delete(key("fast"), version).await.unwrap();
+    assert_eq!(fixture.server.stats().writes, 1);
+    fixture.faults(json!({ "lose_answers": 1 }));
+    let deleted = fixture.store.delete(key("fast"), version).await.unwrap();
     assert_eq!(deleted, Version::new(2));
 }
 
-// Guards against a stale replica that makes a finished write look as if it had not happened.
+// Guards against a stale read that makes a finished write look as if it had failed.
 #[async_std::test]
 async fn lost_answer_with_stale_reads_is_written_once() {
-    let bench = Bench::new();
-    bench.faults(json!({ "lose_answers": 1, "stale": true }));
-    assert_eq!(bench.create("fast").await, Version::new(1));
-    bench.faults(json!({}));
-    let listed = bench.store.list(None, Version::default()).await.unwrap();
+    let fixture = Fixture::new();
+    fixture.faults(json!({ "lose_answers": 1, "stale": true }));
+    assert_eq!(fixture.create("fast").await, Version::new(1));
+    fixture.faults(json!({}));
+    let listed = fixture.store.list(None, Version::default()).await.unwrap();
     assert_eq!(listed.through, Version::new(1));
 }
 
-// Guards against a late answer that is taken for the answer to a later request.
+// Guards against a late answer that is matched to a later request.
 #[async_std::test]
 async fn late_answers_are_not_mixed_up() {
-    let bench = Bench::new();
-    bench.create("slow").await;
-    bench.create("fast").await;
-    bench.faults(json!({ "delay_ms": 300 }));
-    let late = bench.store.get(&key("slow")).await;
+    let fixture = Fixture::new();
+    fixture.create("slow").await;
+    fixture.create("fast").await;
+    fixture.faults(json!({ "delay_ms": 300 }));
+    let late = fixture.store.get(&key("slow")).await;
     assert_matches!(late, Err(PlatformError::Unreachable { .. }));
-    bench.faults(json!({}));
+    fixture.faults(json!({}));
     for _ in 0..20 {
-        let object = bench.store.get(&key("fast")).await.unwrap().unwrap();
+        let object = fixture.store.get(&key("fast")).await.unwrap().unwrap();
         assert_eq!(object.version, Version::new(2));
         task::sleep(Duration::from_millis(20)).await;
     }
 }
 
-// Guards against a wait without end, and against a wrong statement on whether a write was made.
+// Guards against a call that never ends, and against an error that says wrongly whether a write
+// may have taken effect.
 #[async_std::test]
 async fn outages_end_in_time_with_the_right_error() {
-    let bench = Bench::new();
+    let fixture = Fixture::new();
     for down in ["refuse", "hang"] {
-        bench.faults(json!({ "down": down }));
+        fixture.faults(json!({ "down": down }));
         let start = Instant::now();
-        let read = bench.store.get(&key("fast")).await;
+        let read = fixture.store.get(&key("fast")).await;
         assert_matches!(read, Err(PlatformError::Unreachable { .. }));
-        let written = bench
+        let written = fixture
             .store
             .put(key("fast"), Condition::Absent, profile(5))
             .await;
         assert_matches!(written, Err(PlatformError::Unknown { .. }));
         assert!(start.elapsed() < Duration::from_secs(4));
     }
-    let nobody = Store::new("127.0.0.1:1".parse().unwrap(), limits());
-    let written = nobody.put(key("fast"), Condition::Absent, profile(5)).await;
+    let unreachable = Store::new("127.0.0.1:1".parse().unwrap(), limits());
+    let written = unreachable
+        .put(key("fast"), Condition::Absent, profile(5))
+        .await;
     assert_matches!(written, Err(PlatformError::Unreachable { .. }));
 }
 
-// Guards against an outage shorter than the limit that fails a call.
+// Guards against a call that fails in an outage shorter than its time limit.
 #[async_std::test]
-async fn short_outage_is_ridden_out() {
-    let bench = Bench::new();
-    bench.faults(json!({ "down": "refuse" }));
-    let store = bench.store.clone();
+async fn short_outage_is_retried() {
+    let fixture = Fixture::new();
+    fixture.faults(json!({ "down": "refuse" }));
+    let store = fixture.store.clone();
     let writer =
         task::spawn(async move { store.put(key("fast"), Condition::Absent, profile(5)).await });
     task::sleep(Duration::from_millis(300)).await;
-    bench.faults(json!({}));
+    fixture.faults(json!({}));
     assert_eq!(writer.await.unwrap(), Version::new(1));
 }
 
 // Guards against a watch that misses a change or polls the store while it waits.
 #[async_std::test]
 async fn watch_waits_for_the_next_change() {
-    let bench = Bench::new();
-    let since = bench.create("fast").await;
-    let store = bench.store.clone();
+    let fixture = Fixture::new();
+    let since = fixture.create("fast").await;
+    let store = fixture.store.clone();
     let wait = Span::from_secs(2);
     let watch = task::spawn(async move { store.watch(None, since, wait).await });
-    while bench.server.stats().waiting == 0 {
+    while fixture.server.stats().waiting == 0 {
         task::sleep(Duration::from_millis(5)).await;
     }
     let start = Instant::now();
-    bench.create("other").await;
+    fixture.create("other").await;
     let batch = watch.await.unwrap();
     assert!(start.elapsed() < Duration::from_secs(1));
     assert_eq!(batch.objects.len(), 1);
-    assert_eq!(bench.server.stats().reads, 1);
+    assert_eq!(fixture.server.stats().reads, 1);
     let mut cache = Cache::default();
     batch.adopt_into(&mut cache);
     assert_eq!(
@@ -225,95 +228,96 @@
         "version 1 was not seen"
     );
     let wait = Span::from_millis(50);
-    let empty = bench
+    let empty = fixture
         .store
         .watch(None, Version::new(2), wait)
         .await
         .unwrap();
     assert!(empty.objects.is_empty());
-    assert_eq!(bench.server.stats().waiting, 0);
+    assert_eq!(fixture.server.stats().waiting, 0);
 }
 
-// Guards against one object of a later release that hides all others.
+// Guards against an object of a later release that makes all others unreadable.
 #[async_std::test]
 async fn unreadable_objects_do_not_hide_others() {
-    let bench = Bench::new();
-    let odd = json!({ "value": { "colour": "orange" } });
-    assert_eq!(bench.write("profile.odd", &odd).await, 201);
-    assert_eq!(bench.write("painting.odd", &odd).await, 201);
-    bench.create("fast").await;
-    let batch = bench.store.list(None, Version::default()).await.unwrap();
+    let fixture = Fixture::new();
+    let unknown = json!({ "value": { "colour": "orange" } });
+    assert_eq!(fixture.write("profile.odd", &unknown).await, 201);
+    assert_eq!(fixture.write("painting.odd", &unknown).await, 201);
+    fixture.create("fast").await;
+    let batch = fixture.store.list(None, Version::default()).await.unwrap();
     assert_eq!(batch.objects.len(), 1);
     assert_eq!(batch.unreadable.len(), 2);
-    for fault in batch.unreadable {
-        assert_matches!(fault, PlatformError::Value { .. });
+    for error in batch.unreadable {
+        assert_matches!(error, PlatformError::Value { .. });
     }
 }
 
-// Guards against a value above the limit that is sent, or accepted.
+// Guards against a value above the limit that the client sends, or the store accepts.
 #[async_std::test]
 async fn values_have_a_limit() {
-    let bench = Bench::new();
+    let fixture = Fixture::new();
     let big = json!({ "value": "x".repeat(1 << 20) });
-    assert_eq!(bench.write("profile.big", &big).await, 413);
+    assert_eq!(fixture.write("profile.big", &big).await, 413);
     let small = Limits {
         value: usher_types::ByteCount::new(10),
         ..limits()
     };
-    let store = Store::new(address(&bench.server), small);
+    let store = Store::new(address(&fixture.server), small);
     let refused = store.put(key("big"), Condition::Absent, profile(5)).await;
     assert_matches!(refused, Err(PlatformError::TooLarge { .. }));
-    assert_eq!(bench.server.stats().writes, 0);
+    assert_eq!(fixture.server.stats().writes, 0);
 }
 
-// Guards against a watch that ends for good when the store has dropped its history.
+// Guards against a watch that never recovers after the store has dropped its history.
 #[async_std::test]
 async fn dropped_history_is_read_again() {
-    let bench = Bench::new();
-    let since = bench.create("fast").await;
-    bench.create("other").await;
-    bench.faults(json!({ "forget": true }));
-    let batch = bench.store.watch(None, since, Span::ZERO).await.unwrap();
+    let fixture = Fixture::new();
+    let since = fixture.create("fast").await;
+    fixture.create("other").await;
+    fixture.faults(json!({ "forget": true }));
+    let batch = fixture.store.watch(None, since, Span::ZERO).await.unwrap();
     assert_eq!(batch.objects.len(), 2);
     assert_eq!(batch.through, Version::new(2));
 }
 
-// Guards against objects that a list of several pages leaves out.
+// Guards against a list that leaves out objects of later pages.
 #[async_std::test]
 async fn lists_have_all_pages() {
-    let bench = Bench::new();
+    let fixture = Fixture::new();
     let object = json!({ "value": Profile::default() });
     for number in 0..501 {
         let name = format!("profile.p-{number}");
-        assert_eq!(bench.write(&name, &object).await, 201);
+        assert_eq!(fixture.write(&name, &object).await, 201);
     }
-    let batch = bench.store.list(None, Version::default()).await.unwrap();
+    let batch = fixture.store.list(None, Version::default()).await.unwrap();
     assert_eq!(batch.objects.len(), 501);
     assert!(batch.objects.is_sorted_by_key(|object| object.version));
 }
 
-// Guards against an object that stays in force after a tool has removed it from the store.
+// Guards against an object that stays in effect after another tool has removed it.
 #[async_std::test]
 async fn removal_by_another_tool_is_a_deletion() {
-    let bench = Bench::new();
-    let since = bench.create("fast").await;
+    let fixture = Fixture::new();
+    let since = fixture.create("fast").await;
     let request = Request::delete(KIND, "profile.fast", since);
-    let mut client = Client::new(address(&bench.server));
+    let mut client = Client::new(address(&fixture.server));
     let reply = client.call(&request, Span::from_secs(2)).await.unwrap();
     assert_eq!(reply.status, 200);
-    let batch = bench.store.watch(None, since, Span::ZERO).await.unwrap();
+    let batch = fixture.store.watch(None, since, Span::ZERO).await.unwrap();
     assert_matches!(batch.objects.as_slice(), [object] => {
         assert_eq!((object.version, &object.value), (Version::new(2), &None));
     });
 }
 
-// Guards against a refused creation that is reported as a fault because it does not show the object.
+// Guards against a refused creation that is reported as an error other than a conflict because the
+// answer does not contain the object.
 #[async_std::test]
 async fn refusals_without_the_object_are_read_back() {
-    let bench = Bench::new();
-    bench.create("fast").await;
-    bench.faults(json!({ "bare": true }));
-    let again = bench
+    let fixture = Fixture::new();
+    fixture.create("fast").await;
+    fixture.faults(json!({ "bare": true }));
+    let again = fixture
         .store
         .put(key("fast"), Condition::Absent, profile(6))
         .await;
