--- a/crates/types/src/agent_message.rs
+++ b/crates/types/src/agent_message.rs
@@ -11,20 +11,20 @@
     Register(Register),
     /// Answer to a registration.
     Registered(Registered),
-    /// Asks for leave to dispatch.
+    /// Asks the owner of a request key for permission to dispatch.
     Claim(Claim),
     /// Answer to a claim.
     Verdict(Verdict),
-    /// Reports the outcome of a granted request.
+    /// Reports the outcome of a request whose claim was granted.
     Complete(Complete),
-    /// Answer to a report.
+    /// Answer to a `Complete`.
     Completed(Completed),
-    /// Offers a queued request.
+    /// Offers a queued request to another agent.
     Offer(Offer),
     /// Answer to an offer.
     OfferReply(OfferReply),
-    /// Outcome of a request that was taken.
+    /// Outcome of an offered request that the receiver took.
     OfferOutcome(OfferOutcome),
-    /// Answer to an outcome.
+    /// Answer to an `OfferOutcome`.
     OfferDone(OfferDone),
 }
--- a/crates/types/src/beat.rs
+++ b/crates/types/src/beat.rs
@@ -4,12 +4,12 @@
 
 use crate::{HostId, HostState, Incarnation, InstanceId, Span, Time, Version, Weight};
 
-/// A process of the system: an agent by its host, a balancer by its instance.
+/// Identity of an agent or a balancer: its host or its instance.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Peer {
     /// The agent of a host.
     Host(HostId),
-    /// A balancer.
+    /// The balancer of an instance.
     Instance(InstanceId),
 }
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// A heartbeat, sent once a second; between agents it also renews the lease.
+/// A heartbeat, sent once a second. Between agents it also renews the sender's ownership lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Beat {
     /// The sender.
@@ -33,15 +33,15 @@
     pub roster: Version,
     /// Highest configuration version that the sender has in force.
     pub revision: Version,
-    /// What the sender is ready to do.
+    /// Whether the sender takes new work.
     pub state: HostState,
-    /// Wait that a request arriving now is estimated to have.
+    /// Estimated queue wait of a request that arrives now.
     pub wait: Span,
-    /// Strength that the sender has measured of its backend server.
+    /// Capacity that the sender has measured of its backend server.
     pub weight: Weight,
-    /// The sender's clock, echoed in the acknowledgement.
+    /// Time of sending on the sender's clock, echoed in the acknowledgement.
     pub sent: Time,
-    /// Hosts and balancers that the sender no longer hears.
+    /// Hosts and balancers whose heartbeats the sender no longer receives.
     pub suspects: Vec<Peer>,
 }
 
--- a/crates/types/src/claim.rs
+++ b/crates/types/src/claim.rs
@@ -4,24 +4,26 @@
 
 use crate::{Attempt, HostId, Incarnation, Outcome, RequestKey, Span, Time, Version};
 
-/// Asks the owner of a key for leave to dispatch a request that may not be repeated.
+/// Asks for permission to dispatch a request that must not be repeated.
+///
+/// It goes to the owner of the request's key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// Key of the request.
     pub key: RequestKey,
     /// Transmission number of the request.
     pub attempt: Attempt,
-    /// Time since the caller's first attempt, when this claim was sent.
+    /// Time between the caller's first attempt and the sending of this claim.
     pub age: Span,
     /// Host whose agent holds the request.
     pub holder: HostId,
-    /// Incarnation of that agent; a later process knows nothing of its predecessor's claims.
+    /// Incarnation of that agent; a restarted agent does not know its predecessor's claims.
     pub incarnation: Incarnation,
     /// Address that the verdict goes to.
     pub reply: SocketAddrV4,
-    /// Roster version by which the receiver is the owner.
+    /// Roster version under which the receiver is the owner.
     pub roster: Version,
-    /// The holder's clock, echoed in the verdict.
+    /// Time of sending on the holder's clock, echoed in the verdict.
     pub sent: Time,
 }
 
@@ -36,16 +38,16 @@
     pub decision: Decision,
 }
 
-/// What a holder may do with a request that may not be repeated.
+/// What a holder may do with a request that must not be repeated.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Decision {
-    /// Dispatch it, if it starts within this time from the sending of the claim.
+    /// May dispatch the request if it starts within this time of the claim's sending.
     Granted(Span),
-    /// It has run; this is its outcome.
+    /// The request has run, with this outcome.
     Finished(Outcome),
-    /// Another holder runs it or may still run it.
+    /// Another holder runs the request or may still run it.
     Running,
-    /// An earlier owner may have granted it.
+    /// An earlier owner may have granted a claim for the key.
     Unknown,
     /// The owner may not grant yet; ask again after this time.
     Wait(Span),
@@ -60,13 +62,13 @@
     pub key: RequestKey,
     /// Host that held the grant.
     pub holder: HostId,
-    /// Incarnation of that agent.
+    /// Incarnation of that host's agent.
     pub incarnation: Incarnation,
-    /// `sent` of the claim that was granted; a late duplicate must not release a later grant.
+    /// `sent` of the claim that was granted. A late duplicate must not release a later grant.
     pub sent: Time,
     /// Address that the acknowledgement goes to.
     pub reply: SocketAddrV4,
-    /// `NotRun` releases the grant.
+    /// Outcome of the request; `NotRun` releases the grant.
     pub outcome: Outcome,
 }
 
--- a/crates/types/src/fleet.rs
+++ b/crates/types/src/fleet.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Balancer {
-    /// Tells successive processes on the instance apart.
+    /// Distinguishes successive processes on the instance.
     pub incarnation: Incarnation,
     /// UDP address for heartbeats and hints.
     pub control: SocketAddrV4,
@@ -17,11 +17,11 @@
     pub admin: SocketAddrV4,
 }
 
-/// The balancers of a data centre, in the order of a store object's versions.
+/// The balancers of a data centre; successive values are ordered by `version`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Version of the store object; set by whoever reads it.
+    /// Version of the store object. The reader sets it; the stored value lacks it.
     #[serde(skip)]
     pub version: Version,
     /// Balancers by instance.
--- a/crates/types/src/flow_id.rs
+++ b/crates/types/src/flow_id.rs
@@ -6,11 +6,11 @@
 
 use crate::ParseError;
 
-const RULE: &str = "caller-address:port>service-address:port#nonce";
+const FORMAT: &str = "caller-address:port>service-address:port#nonce";
 
 /// Identity of a flow: both addresses and the caller's nonce.
 ///
-/// The nonce tells a connection from an earlier one with the same addresses.
+/// The nonce distinguishes a connection from an earlier one with the same addresses.
 ///
 /// ```
 /// let flow: usher_types::FlowId = "10.0.0.1:4000>192.0.2.1:80#7".parse()?;
@@ -23,7 +23,7 @@
     pub caller: SocketAddrV4,
     /// Address and port of the service.
     pub service: SocketAddrV4,
-    /// Drawn by the caller for each connection.
+    /// Chosen by the caller for each connection.
     pub nonce: u32,
 }
 
@@ -46,6 +46,6 @@
                 nonce: nonce.parse().ok()?,
             })
         };
-        parse().ok_or_else(|| ParseError::new("flow id", text, RULE))
+        parse().ok_or_else(|| ParseError::new("flow id", text, FORMAT))
     }
 }
--- a/crates/types/src/message.rs
+++ b/crates/types/src/message.rs
@@ -2,7 +2,7 @@
 
 use crate::{AgentMessage, Beat, BeatAck, Generation, Hint, Relay, ServiceName};
 
-/// A message between two processes of the system, in one UDP datagram.
+/// A message between agents and balancers, in one UDP datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// A caller's packet on its way to an agent.
--- a/crates/types/src/name.rs
+++ b/crates/types/src/name.rs
@@ -9,7 +9,7 @@
 const MAX_NAME_BYTES: usize = 63;
 const NAME_RULE: &str = "1 to 63 characters out of a-z, 0-9 and '-', starting with a letter";
 
-fn is_name(text: &str) -> bool {
+fn is_valid_name(text: &str) -> bool {
     let starts_with_letter = text.starts_with(|c: char| c.is_ascii_lowercase());
     let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
     starts_with_letter && text.len() <= MAX_NAME_BYTES && text.chars().all(allowed)
@@ -39,7 +39,7 @@
             type Err = ParseError;
 
             fn from_str(text: &str) -> Result<Self, ParseError> {
-                if is_name(text) {
+                if is_valid_name(text) {
                     Ok(Self(text.into()))
                 } else {
                     Err(ParseError::new($kind, text, NAME_RULE))
@@ -75,7 +75,7 @@
     "host id"
 );
 name!(
-    /// An instance: a machine where the system's own process runs.
+    /// An instance: the machine where a balancer runs.
     InstanceId,
     "instance id"
 );
@@ -85,7 +85,7 @@
     "service name"
 );
 name!(
-    /// A profile that services refer to.
+    /// Name by which services refer to a profile.
     ProfileName,
     "profile name"
 );
--- a/crates/types/src/number.rs
+++ b/crates/types/src/number.rs
@@ -25,7 +25,7 @@
                 self.0
             }
 
-            /// The following value; stays at the largest one.
+            /// The next value; saturates at the maximum.
             #[must_use]
             pub const fn next(self) -> Self {
                 Self(self.0.saturating_add(1))
@@ -52,7 +52,7 @@
 }
 
 number!(
-    /// An object's version in the store; the only order between its values.
+    /// Version of an object in the store; only versions order its values.
     ///
     /// ```
     /// use usher_types::Version;
@@ -62,27 +62,27 @@
     "version"
 );
 number!(
-    /// Changes when an address moves from one service to another.
+    /// Raised when an address moves from one service to another.
     Generation(u64),
     "generation"
 );
 number!(
-    /// Tells successive processes on one host apart; a later one is higher.
+    /// Distinguishes successive processes on one machine; a later one is higher.
     Incarnation(u64),
     "incarnation"
 );
 number!(
-    /// A packet's position in its direction of a flow.
+    /// Sequence number of a packet in one direction of a flow.
     Sequence(u32),
     "sequence"
 );
 number!(
-    /// Numbers the messages of one direction of a flow.
+    /// Number of a message in one direction of a flow.
     MessageId(u32),
     "message id"
 );
 number!(
-    /// Numbers the transmissions of one request; the first is 1.
+    /// Number of a transmission of one request; the first is 1.
     Attempt(u16),
     "attempt"
 );
@@ -97,12 +97,12 @@
     "priority"
 );
 number!(
-    /// Requests that a backend server runs at the same time.
+    /// Number of requests that a backend server runs at the same time.
     Slots(u16),
     "slot count"
 );
 number!(
-    /// One bucket of a service's flows.
+    /// Index of a bucket; each flow of a service is hashed to one bucket.
     Bucket(u32),
     "bucket"
 );
@@ -112,7 +112,7 @@
     "bucket count"
 );
 number!(
-    /// Relative strength of a host; 1,000 is nominal.
+    /// Relative capacity of a host; 1,000 is nominal.
     Weight(u32),
     "weight"
 );
@@ -123,6 +123,6 @@
 );
 
 impl Weight {
-    /// Strength of a host that has not been measured yet.
+    /// Weight of a host whose capacity has not been measured yet.
     pub const NOMINAL: Self = Self::new(1_000);
 }
--- a/crates/types/src/offer.rs
+++ b/crates/types/src/offer.rs
@@ -7,11 +7,11 @@
 /// Offers a queued request to another agent of the service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Offer {
-    /// Where the request came in.
+    /// Flow and message that carried the request.
     pub id: RequestId,
     /// The caller's idempotency key.
     pub key: RequestKey,
-    /// The request may not be repeated.
+    /// The request must not be repeated.
     pub once: bool,
     /// Method name.
     pub method: String,
@@ -21,13 +21,13 @@
     pub attempt: Attempt,
     /// Time since the caller's first attempt.
     pub age: Span,
-    /// Attempts left across all layers.
+    /// Attempts left across all layers that retry.
     pub budget: Budget,
     /// Precedence under overload.
     pub priority: Priority,
-    /// Parameters.
+    /// Parameters of the call.
     pub body: Payload,
-    /// Wait at the sender; the receiver takes the request only if its own is shorter.
+    /// Queue wait at the sender. The receiver takes the request only if its own wait is shorter.
     pub wait: Span,
     /// Address that replies go to.
     pub reply: SocketAddrV4,
@@ -40,11 +40,11 @@
     pub id: RequestId,
     /// The receiver owns the request from now on.
     pub taken: bool,
-    /// Wait at the receiver.
+    /// Queue wait at the receiver.
     pub wait: Span,
 }
 
-/// Outcome of a request that was taken, sent back to the agent that offered it.
+/// Outcome of an offered request, sent back to the agent that offered it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OfferOutcome {
     /// The request.
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -13,7 +13,7 @@
     NotRun {
         /// Why it was refused.
         refusal: Refusal,
-        /// When a new attempt is likely to succeed.
+        /// Time after which a new attempt is likely to succeed.
         retry: Span,
     },
     /// The request may have run; its answer is lost.
@@ -31,7 +31,7 @@
     Shed,
     /// The caller cancelled it before dispatch.
     Cancelled,
-    /// The host is leaving.
+    /// The host is draining.
     Draining,
     /// Its attempt budget is spent.
     Budget,
--- a/crates/types/src/packet.rs
+++ b/crates/types/src/packet.rs
@@ -7,7 +7,7 @@
 pub struct Packet {
     /// The flow that the packet belongs to.
     pub flow: FlowId,
-    /// Position in the sender's direction; a resent packet gets a new one.
+    /// Sequence number in the sender's direction; a resent packet gets a new one.
     pub sequence: Sequence,
     /// What the packet carries.
     pub body: Body,
--- a/crates/types/src/profile.rs
+++ b/crates/types/src/profile.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClassRule {
-    /// The method counts as long work from the start.
+    /// The method's requests count as long, whatever their estimated running time.
     pub long: bool,
     /// Precedence under overload; a higher value is refused later.
     pub priority: Priority,
@@ -22,7 +22,7 @@
     }
 }
 
-/// A named description of how traffic is treated; services refer to it.
+/// Traffic settings that services refer to by name.
 ///
 /// ```
 /// use usher_types::Profile;
@@ -39,13 +39,13 @@
     pub short_bound: Span,
     /// Deadline of requests that state none.
     pub deadline: Span,
-    /// Attempts of one request across all layers.
+    /// Attempts of one request across all layers that retry.
     pub attempts: Budget,
     /// Share of successes that may be spent on retries.
     pub retries: Share,
     /// Share of requests that are to be answered in time.
     pub objective: Share,
-    /// Rules by method.
+    /// Rules by method name.
     pub methods: IndexMap<String, ClassRule>,
 }
 
--- a/crates/types/src/register.rs
+++ b/crates/types/src/register.rs
@@ -11,7 +11,7 @@
     pub flow: FlowId,
     /// Address of the agent that holds it.
     pub holder: SocketAddrV4,
-    /// Roster version by which the receiver owns the bucket.
+    /// Roster version under which the receiver owns the bucket.
     pub roster: Version,
 }
 
--- a/crates/types/src/relay.rs
+++ b/crates/types/src/relay.rs
@@ -4,7 +4,7 @@
 
 use crate::{Generation, Packet, ServiceName, Version};
 
-/// A caller's packet on its way between processes of the system.
+/// A caller's packet that a balancer or an agent forwards.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Relay {
     /// Service that the packet is for; an agent of another service drops it.
@@ -27,16 +27,16 @@
     pub packet: Packet,
 }
 
-/// How the receiving agent treats a packet of a flow that it does not hold.
+/// How the receiver treats a packet of a flow that it does not hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RelayMode {
-    /// The receiver owns the bucket and decides.
+    /// The receiver decides as the owner of the flow's bucket.
     Owner,
-    /// The bucket owner passed an `Open` on; the receiver accepts it.
+    /// The bucket's owner passed an `Open` on. The receiver accepts it unless it is draining.
     Hunt,
-    /// The new bucket owner asks an earlier one; unknown flows go back.
+    /// The bucket's new owner asks the earlier owners in turn. Unknown flows return to it.
     Probe,
-    /// An earlier owner does not know the flow; the owner decides alone.
+    /// No earlier owner knows the flow; the bucket's owner decides alone.
     Probed,
     /// The sender knows from a directory entry or hint that the receiver holds the flow.
     Direct,
--- a/crates/types/src/request.rs
+++ b/crates/types/src/request.rs
@@ -4,7 +4,7 @@
 
 use crate::{Attempt, Budget, FlowId, MessageId, Payload, Priority, RequestKey, Span, Time};
 
-/// Where a request came in: its flow and the message that carried it.
+/// Identity of a request: its flow and the message that carried it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestId {
     /// Flow of the caller.
@@ -22,21 +22,21 @@
 /// A caller's request as an agent holds it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// Where the request came in.
+    /// Flow and message that carried the request.
     pub id: RequestId,
     /// The caller's idempotency key, the same in every attempt.
     pub key: RequestKey,
-    /// The request may not be repeated.
+    /// The request must not be repeated.
     pub once: bool,
-    /// Method name; service times are estimated for each.
+    /// Method name; service times are estimated per method.
     pub method: String,
     /// When the caller stops waiting, on the agent's clock.
     pub deadline: Time,
     /// Number of this transmission; the first is 1.
     pub attempt: Attempt,
-    /// Time since the caller's first attempt, when it sent this one.
+    /// Time between the sending of the caller's first attempt and of this one.
     pub age: Span,
-    /// Attempts left across all layers.
+    /// Attempts left across all layers that retry.
     pub budget: Budget,
     /// Precedence under overload.
     pub priority: Priority,
--- a/crates/types/src/retry_budget.rs
+++ b/crates/types/src/retry_budget.rs
@@ -1,7 +1,7 @@
 use crate::Share;
 
-// Retries before the first successes, and the most that a long healthy period can save up.
-const BURST: f64 = 10.0;
+// Retries allowed before the first success, and the most that successes can accumulate.
+const MAX_TOKENS: f64 = 10.0;
 
 /// Limits retries to a share of successes.
 ///
@@ -15,13 +15,14 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
+    /// Retries left; successes add fractions.
     tokens: f64,
 }
 
 impl RetryBudget {
     /// Counts a success, which earns `share` of a retry.
     pub fn on_success(&mut self, share: Share) {
-        self.tokens = (self.tokens + share.get()).min(BURST);
+        self.tokens = (self.tokens + share.get()).min(MAX_TOKENS);
     }
 
     /// Takes one retry out of the budget, if one is left.
@@ -41,6 +42,6 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { tokens: BURST }
+        Self { tokens: MAX_TOKENS }
     }
 }
--- a/crates/types/src/roster.rs
+++ b/crates/types/src/roster.rs
@@ -5,7 +5,7 @@
 
 use crate::{DataCentre, HostId, Incarnation, Version, Weight};
 
-/// What a member of a roster is ready to do.
+/// Whether a member of a roster takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HostState {
@@ -19,21 +19,21 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Member {
-    /// Tells successive processes on the host apart.
+    /// Distinguishes successive processes on the host.
     pub incarnation: Incarnation,
     /// UDP address of the host's agent.
     pub agent: SocketAddrV4,
     /// TCP address of the agent's administration RPC.
     pub admin: SocketAddrV4,
-    /// Where the host stands.
+    /// Data centre of the host.
     pub centre: DataCentre,
-    /// Relative strength when the member joined.
+    /// Relative capacity when the member joined.
     pub weight: Weight,
-    /// What the member is ready to do.
+    /// Whether the member takes new work.
     pub state: HostState,
 }
 
-/// The agreed members of a service, in the order of a store object's versions.
+/// The agreed members of a service; successive rosters are ordered by `version`.
 ///
 /// ```
 /// let roster = usher_types::Roster::default();
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Roster {
-    /// Version of the store object; set by whoever reads it.
+    /// Version of the store object. The reader sets it; the stored value lacks it.
     #[serde(skip)]
     pub version: Version,
     /// Members by host.
@@ -63,7 +63,7 @@
 }
 
 impl PastRoster {
-    /// The roster as it was, without its own predecessors.
+    /// Converts to a `Roster` that lists no earlier rosters.
     pub fn to_roster(&self) -> Roster {
         Roster {
             version: self.version,
--- a/crates/types/src/span.rs
+++ b/crates/types/src/span.rs
@@ -8,7 +8,7 @@
 
 const MICROS_PER_MILLI: u64 = 1_000;
 const MICROS_PER_SECOND: u64 = 1_000_000;
-const RULE: &str = "a whole number with the unit us, ms or s";
+const FORMAT: &str = "a whole number with the unit us, ms or s";
 
 /// A length of time in microseconds.
 ///
@@ -25,7 +25,7 @@
 pub struct Span(u64);
 
 impl Span {
-    /// No time at all.
+    /// A span of zero.
     pub const ZERO: Self = Self(0);
 
     /// A span of whole microseconds.
@@ -63,7 +63,7 @@
         self.0 as f64 / MICROS_PER_SECOND as f64
     }
 
-    /// The span times a factor; negative factors give zero.
+    /// Multiplies the span by a factor; negative factors give zero.
     #[must_use]
     pub fn scale(self, factor: f64) -> Self {
         Self((self.0 as f64 * factor) as u64)
@@ -116,7 +116,7 @@
             ("ms", MICROS_PER_MILLI),
             ("s", MICROS_PER_SECOND),
         ];
-        let invalid = || ParseError::new("time span", text, RULE);
+        let invalid = || ParseError::new("time span", text, FORMAT);
         let (digits, unit) = units
             .iter()
             .find_map(|(suffix, unit)| Some((text.strip_suffix(suffix)?, *unit)))
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -6,9 +6,9 @@
 
 use crate::{ParseError, Span};
 
-/// A reading of one process's monotonic clock, in microseconds.
+/// A reading of a machine's monotonic clock, in microseconds.
 ///
-/// Readings of two hosts cannot be compared.
+/// Readings of two machines cannot be compared; processes of one machine share the clock.
 ///
 /// ```
 /// use usher_types::{Span, Time};
@@ -35,7 +35,7 @@
         self.0
     }
 
-    /// Time from `earlier` to this reading, zero when it lies ahead.
+    /// Time from `earlier` to this reading; zero when `earlier` is the later one.
     pub fn since(self, earlier: Self) -> Span {
         Span::from_micros(self.0.saturating_sub(earlier.0))
     }
--- a/crates/types/tests/retry_budget.rs
+++ b/crates/types/tests/retry_budget.rs
@@ -2,7 +2,7 @@
 
 use usher_types::{RetryBudget, Share};
 
-/// Guards against retries that multiply calls under failure, or that save up for a burst.
+/// Guards against retries that multiply calls under failure, or accumulate to a burst.
 #[test]
 fn retries_stay_within_a_share_of_successes() {
     let share = Share::new(0.1).unwrap();
