--- a/crates/burn/src/burn.rs
+++ b/crates/burn/src/burn.rs
@@ -3,9 +3,12 @@
 use crate::ring::Ring;
 use crate::{WINDOWS, Window};
 
-/// Outcomes of one service on one host, in windows of 5 min, 1 h and 30 days.
+/// Counts the outcomes of one service on one host in sliding windows.
 ///
-/// Memory is bounded by 810 buckets. The counts live as long as the process: nothing is handed on.
+/// The windows are 5 min, 1 h and 30 days long.
+///
+/// Memory is bounded by 810 buckets. The counts are lost when the process ends: they are neither
+/// stored nor handed over.
 ///
 /// ```
 /// use usher_burn::Burn;
@@ -21,7 +24,7 @@
 }
 
 impl Burn {
-    /// Starts to count.
+    /// Creates empty windows that cover the time from `now` on.
     pub fn new(now: Time) -> Self {
         Self {
             started: now,
@@ -32,7 +35,7 @@
     /// Counts an outcome that is sent to its caller.
     pub fn count(&mut self, now: Time, deadline: Time, outcome: &Outcome) {
         for ring in &mut self.rings {
-            ring.at(now).count(now, deadline, outcome);
+            ring.tally_at(now).count(now, deadline, outcome);
         }
     }
 
--- a/crates/burn/src/lib.rs
+++ b/crates/burn/src/lib.rs
@@ -1,4 +1,4 @@
-//! Counts outcomes against a service's objective, in windows of bounded memory.
+//! Counts request outcomes in sliding windows and computes the error-budget burn rate.
 
 mod burn;
 mod ring;
--- a/crates/burn/src/ring.rs
+++ b/crates/burn/src/ring.rs
@@ -2,11 +2,12 @@
 
 use crate::Tally;
 
-/// Tallies of the last buckets of equal width; older ones are overwritten.
+/// Ring buffer with one tally per time bucket; the newest overwrites the oldest.
 #[derive(Debug)]
 pub(crate) struct Ring {
+    /// Length of time that one bucket covers.
     width: Span,
-    // Each with the number of its bucket, counted from the clock's origin.
+    // Each tally with the number of its bucket, counted from the clock's origin.
     buckets: Vec<(u64, Tally)>,
 }
 
@@ -18,30 +19,31 @@
         }
     }
 
-    /// The bucket of a time, empty if it held an older one.
-    pub(crate) fn at(&mut self, now: Time) -> &mut Tally {
-        let number = self.number(now);
-        let place = number as usize % self.buckets.len();
-        let (held, tally) = &mut self.buckets[place];
-        if *held != number {
-            *held = number;
+    /// The tally of the bucket of `now`; resets an older bucket in its place.
+    pub(crate) fn tally_at(&mut self, now: Time) -> &mut Tally {
+        let bucket_number = self.bucket_number(now);
+        let index = bucket_number as usize % self.buckets.len();
+        let (stored, tally) = &mut self.buckets[index];
+        if *stored != bucket_number {
+            *stored = bucket_number;
             *tally = Tally::default();
         }
         tally
     }
 
-    /// Sum over all buckets that lie within the window that ends now.
+    /// Sums the buckets within the window that ends at `now`.
     pub(crate) fn sum(&self, now: Time) -> Tally {
-        let newest = self.number(now);
-        let is_recent = |held: u64| held <= newest && newest - held < self.buckets.len() as u64;
+        let newest = self.bucket_number(now);
+        let is_recent =
+            |stored: u64| stored <= newest && newest - stored < self.buckets.len() as u64;
         let mut sum = Tally::default();
-        for (_, tally) in self.buckets.iter().filter(|(held, _)| is_recent(*held)) {
+        for (_, tally) in self.buckets.iter().filter(|(stored, _)| is_recent(*stored)) {
             sum += *tally;
         }
         sum
     }
 
-    fn number(&self, now: Time) -> u64 {
+    fn bucket_number(&self, now: Time) -> u64 {
         now.as_micros() / self.width.as_micros()
     }
 }
--- a/crates/burn/src/tally.rs
+++ b/crates/burn/src/tally.rs
@@ -3,9 +3,10 @@
 use serde::{Deserialize, Serialize};
 use usher_types::{Outcome, Refusal, Share, Time};
 
-/// Outcomes of requests, counted by what the caller was told.
+/// Counts of request outcomes, by what the caller was told.
 ///
-/// Requests that the caller cancelled or sent malformed are the caller's decision and not counted.
+/// Requests that the caller cancelled or sent malformed are the caller's decision. They are not
+/// counted, so that callers cannot spend the service's error budget.
 ///
 /// ```
 /// use usher_burn::Tally;
@@ -24,7 +25,7 @@
     pub refused: u64,
     /// May have run; the answer is lost.
     pub unknown: u64,
-    /// Run, with an error from the backend server.
+    /// Run, but the backend server reported an error.
     pub failed: u64,
 }
 
@@ -45,22 +46,22 @@
         *count += 1;
     }
 
-    /// All requests counted.
+    /// Number of requests counted.
     pub fn requests(&self) -> u64 {
         self.in_time + self.bad()
     }
 
-    /// Requests that were not answered in time.
+    /// Number of requests that were not answered in time.
     pub fn bad(&self) -> u64 {
         self.late + self.refused + self.unknown + self.failed
     }
 
-    /// Share of requests that were answered in time; `None` without requests.
+    /// Fraction of requests that were answered in time; `None` without requests.
     pub fn goodput(&self) -> Option<f64> {
         (self.requests() > 0).then(|| self.in_time as f64 / self.requests() as f64)
     }
 
-    /// Speed at which the error budget is spent; 1 spends it within exactly its period.
+    /// Rate at which the error budget is spent. At 1 it lasts for exactly its period.
     ///
     /// `None` without requests, or when the objective leaves no budget.
     ///
@@ -78,7 +79,7 @@
         Some((1.0 - goodput) / budget)
     }
 
-    /// Share of the error budget that is left; negative when overspent.
+    /// Fraction of the error budget that is left; negative when overspent.
     pub fn budget_left(&self, objective: Share) -> Option<f64> {
         self.burn_rate(objective).map(|rate| 1.0 - rate)
     }
--- a/crates/burn/src/window.rs
+++ b/crates/burn/src/window.rs
@@ -3,7 +3,7 @@
 
 use crate::Tally;
 
-/// Windows of the report, each as the width of a bucket and the number of buckets.
+/// Windows that are counted, each as bucket width and number of buckets.
 pub const WINDOWS: [(Span, usize); 3] = [
     (Span::from_secs(10), 30),
     (Span::from_secs(60), 60),
@@ -15,8 +15,8 @@
 pub struct Window {
     /// Length of the window.
     pub window: Span,
-    /// Time that the agent has counted for; shorter than the window after a start.
+    /// Part of the window in which the agent has run. It is shorter than `window` after a start.
     pub covered: Span,
-    /// Outcomes within the window, to the width of one bucket.
+    /// Outcomes within the window, accurate to the width of one bucket.
     pub tally: Tally,
 }
--- a/crates/burn/tests/burn.rs
+++ b/crates/burn/tests/burn.rs
@@ -1,10 +1,10 @@
-//! Counting of outcomes, and windows that slide.
+//! Counting of outcomes in sliding windows.
 
 use serde::Deserialize;
 use usher_burn::{Burn, Tally};
 use usher_types::{Outcome, Share, Span, Time};
 
-const DAY: u64 = 24 * 3_600;
+const DAY_SECONDS: u64 = 24 * 3_600;
 
 #[derive(Deserialize)]
 struct Row {
@@ -32,7 +32,7 @@
     windows.iter().map(|w| w.tally.requests()).collect()
 }
 
-/// Guards against the failure that each row names.
+/// Guards against the failure that `guards` of each row names.
 #[test]
 fn outcomes_are_counted_by_what_the_caller_was_told() {
     let rows: Vec<Row> = serde_json::from_str(include_str!("data/outcomes.json")).unwrap();
@@ -58,7 +58,7 @@
     }
 }
 
-/// Guards against outcomes that stay in a window for ever, or leave it early.
+/// Guards against outcomes that never leave a window, or leave it early.
 #[test]
 fn outcomes_leave_each_window_when_it_has_passed() {
     let mut burn = Burn::new(at(5_000));
@@ -67,13 +67,13 @@
     assert_eq!(requests(&burn, 5_005 + 290), [1, 1, 1]);
     assert_eq!(requests(&burn, 5_005 + 300), [0, 1, 1]);
     assert_eq!(requests(&burn, 5_005 + 3_600), [0, 0, 1]);
-    assert_eq!(requests(&burn, 5_005 + 29 * DAY), [0, 0, 1]);
-    assert_eq!(requests(&burn, 5_005 + 30 * DAY), [0, 0, 0]);
+    assert_eq!(requests(&burn, 5_005 + 29 * DAY_SECONDS), [0, 0, 1]);
+    assert_eq!(requests(&burn, 5_005 + 30 * DAY_SECONDS), [0, 0, 0]);
 }
 
-/// Guards against a bucket that is used again and still holds the counts of an earlier round.
+/// Guards against a reused bucket that still holds counts of its previous time.
 #[test]
-fn a_bucket_that_is_used_again_starts_empty() {
+fn a_reused_bucket_starts_empty() {
     let mut burn = Burn::new(at(0));
     for second in [0, 300, 600] {
         burn.count(at(second), at(second), &Outcome::Unknown);
@@ -81,9 +81,9 @@
     }
 }
 
-/// Guards against a report over 30 days that hides a start a minute ago.
+/// Guards against a 30-day report that hides that the process started a minute ago.
 #[test]
-fn a_window_names_the_time_that_it_covers() {
+fn a_window_reports_the_time_that_it_covers() {
     let burn = Burn::new(at(100));
     let covered = |second| -> Vec<Span> {
         let windows = burn.windows(at(second));
@@ -91,12 +91,12 @@
     };
     assert_eq!(covered(160), [Span::from_secs(60); 3]);
     assert_eq!(
-        covered(100 + DAY)[..2],
+        covered(100 + DAY_SECONDS)[..2],
         [Span::from_secs(300), Span::from_secs(3_600)]
     );
 }
 
-/// Guards against a division by zero, and an overspent budget that looks like an empty one.
+/// Guards against a division by zero, and an overspent budget reported as empty.
 #[test]
 fn rates_need_requests_and_a_budget() {
     let share = |value| Share::new(value).unwrap();
