--- a/crates/events/src/event.rs
+++ b/crates/events/src/event.rs
@@ -2,12 +2,12 @@
 
 use log::Level;
 
-use crate::budget;
+use crate::rate_limit;
 
 /// A numbered log event; `docs/events.md` lists all of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Event {
-    /// Number, written as `MU-E<code>`.
+    /// Number of the event, written as `MU-E<code>`.
     pub code: u16,
     /// Level of the log line.
     pub level: Level,
@@ -47,11 +47,11 @@
     /// assert_eq!(event.to_string(), "event=MU-E1 text=\"process started\"");
     /// ```
     pub fn log(self, fields: &[(&str, &dyn Display)]) {
-        budget::count(self.code);
+        rate_limit::count_event(self.code);
         if !log::log_enabled!(self.level) {
             return;
         }
-        match budget::take(self.code) {
+        match rate_limit::admit_line(self.code) {
             Some(0) => log::log!(self.level, "{self}{}", Fields(fields)),
             Some(omitted) => {
                 log::log!(self.level, "{self}{} omitted={omitted}", Fields(fields));
--- a/crates/events/src/lib.rs
+++ b/crates/events/src/lib.rs
@@ -1,7 +1,7 @@
-//! Numbered log events: one line of `key=value` pairs for each.
+//! Numbered log events, each written as one line of `key=value` pairs.
 
-mod budget;
 mod event;
+mod rate_limit;
 
-pub use budget::{limit, total};
 pub use event::Event;
+pub use rate_limit::{limit, total};
--- a/crates/events/tests/budget.rs
+++ b/crates/events/tests/rate_limit.rs
@@ -1,4 +1,4 @@
-//! A busy event neither floods the log nor goes uncounted.
+//! The limit on the log lines of each event.
 
 use std::sync::Mutex;
 use std::thread;
@@ -9,9 +9,9 @@
 
 static LINES: Mutex<Vec<String>> = Mutex::new(Vec::new());
 
-struct Sink;
+struct MemoryLog;
 
-impl Log for Sink {
+impl Log for MemoryLog {
     fn enabled(&self, _metadata: &Metadata<'_>) -> bool {
         true
     }
@@ -23,10 +23,10 @@
     fn flush(&self) {}
 }
 
-/// Guards against a log whose volume follows the load, and against lines that are left out silently.
+/// Guards against a log that grows with the load, and lines left out silently.
 #[test]
-fn lines_beyond_the_budget_are_counted_and_told() {
-    log::set_logger(&Sink).unwrap();
+fn lines_beyond_the_limit_are_counted_and_reported() {
+    log::set_logger(&MemoryLog).unwrap();
     log::set_max_level(LevelFilter::Info);
     usher_events::limit(10);
     let event = Event {
@@ -40,12 +40,12 @@
     thread::sleep(Duration::from_millis(1_100));
     event.log(&[]);
     let lines = LINES.lock().unwrap();
-    // A second may have begun in between.
+    // A second may begin during the loop, which admits 10 more lines.
     assert!((11..=21).contains(&lines.len()), "{}", lines.len());
-    let told: u64 = lines
+    let omitted: u64 = lines
         .iter()
         .filter_map(|line| line.rsplit_once("omitted=")?.1.parse::<u64>().ok())
         .sum();
-    assert_eq!(told + lines.len() as u64, 1_001);
+    assert_eq!(omitted + lines.len() as u64, 1_001);
     assert_eq!(usher_events::total(4_000), 1_001);
 }
