--- a/crates/clock/src/clock.rs
+++ b/crates/clock/src/clock.rs
@@ -10,9 +10,9 @@
     Time::from_micros(micros)
 }
 
-/// The machine's monotonic clock; it stands while the machine is suspended.
+/// The machine's monotonic clock; it stops while the machine is suspended.
 ///
-/// All processes of a machine share it, so a deadline can pass between them as a reading.
+/// All processes of a machine read the same clock, so they can exchange deadlines as its readings.
 ///
 /// ```
 /// assert!(usher_clock::now() <= usher_clock::now());
@@ -21,12 +21,12 @@
     read(ClockId::Monotonic)
 }
 
-/// A number that tells this process from all others: the time of its start.
+/// Wall-clock time in microseconds; read at start, it identifies the process.
 ///
 /// ```
 /// assert!(usher_clock::epoch() > 0);
 /// ```
 pub fn epoch() -> u64 {
-    let day = clock_gettime(ClockId::Realtime);
-    day.tv_sec as u64 * MICROS_PER_SECOND + day.tv_nsec as u64 / NANOS_PER_MICRO
+    let wall = clock_gettime(ClockId::Realtime);
+    wall.tv_sec as u64 * MICROS_PER_SECOND + wall.tv_nsec as u64 / NANOS_PER_MICRO
 }
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,4 +1,4 @@
-//! Clocks of the machine.
+//! The machine's clocks, and detection of its suspension.
 
 mod clock;
 mod suspend_watch;
--- a/crates/clock/src/suspend_watch.rs
+++ b/crates/clock/src/suspend_watch.rs
@@ -3,32 +3,33 @@
 
 use crate::clock::{now, read};
 
-// A gap between the clocks below this may come from reading one after the other.
-const SUSPENDED: Span = Span::from_millis(500);
+// The clocks are read one after the other, so their offset varies by less than this.
+const MIN_SUSPENSION: Span = Span::from_millis(500);
 
-/// Finds times in which the machine was suspended.
+/// Detects suspension of the machine by comparing its boot-time and monotonic clocks.
 #[derive(Debug, Clone, Copy)]
 pub struct SuspendWatch {
-    gap: Span,
+    // Boot-time clock minus monotonic clock.
+    offset: Span,
 }
 
 impl SuspendWatch {
-    /// Starts to watch.
+    /// Starts to watch for suspension.
     ///
     /// ```
     /// assert_eq!(usher_clock::SuspendWatch::new().check(), None);
     /// ```
     #[expect(clippy::new_without_default, reason = "reads the clock")]
     pub fn new() -> Self {
-        let gap = read(ClockId::Boottime) - now();
-        Self { gap }
+        let offset = read(ClockId::Boottime) - now();
+        Self { offset }
     }
 
-    /// Time that the machine was suspended since the last call, if it was.
+    /// How long the machine was suspended since the last call, if it was.
     pub fn check(&mut self) -> Option<Span> {
-        let gap = read(ClockId::Boottime) - now();
-        let grown = gap - self.gap;
-        self.gap = gap;
-        (grown > SUSPENDED).then_some(grown)
+        let offset = read(ClockId::Boottime) - now();
+        let suspended = offset - self.offset;
+        self.offset = offset;
+        (suspended > MIN_SUSPENSION).then_some(suspended)
     }
 }
