--- a/crates/wire/src/cancel.rs
+++ b/crates/wire/src/cancel.rs
@@ -3,7 +3,7 @@
 
 use crate::WireError;
 
-/// A JSON-RPC 2.0 notification by which a caller gives up a request of the same flow.
+/// A JSON-RPC 2.0 notification that cancels a caller's request on the same flow.
 ///
 /// ```
 /// let text = br#"{"jsonrpc":"2.0","method":"cancel","params":{"id":7}}"#;
@@ -12,7 +12,7 @@
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CancelMessage {
-    /// JSON-RPC id of the request.
+    /// JSON-RPC id of the request to cancel.
     pub id: Value,
 }
 
@@ -36,10 +36,10 @@
 }
 
 impl CancelMessage {
-    /// JSON text of the notification.
+    /// Encodes the notification as JSON.
     ///
     /// # Errors
-    /// Fails only when memory for the text cannot be had.
+    /// Fails when the notification cannot be serialized.
     pub fn encode(&self) -> Result<Vec<u8>, WireError> {
         let params = Params {
             id: self.id.clone(),
@@ -52,7 +52,7 @@
         serde_json::to_vec(&envelope).map_err(WireError::Request)
     }
 
-    /// Reads a notification.
+    /// Decodes a notification.
     ///
     /// # Errors
     /// Fails with [`WireError::Request`] on any other message.
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,6 +1,6 @@
 //! Codecs for datagrams, caller packets and JSON-RPC payloads.
 //!
-//! Decoding never panics: malformed input gives a [`WireError`] that the receiver counts.
+//! Decoding never panics: malformed input returns a [`WireError`], which the receiver counts.
 
 mod cancel;
 mod error;
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -3,12 +3,12 @@
 use crate::WireError;
 
 // Raised when a message changes in a way that older processes cannot read.
-const PROTOCOL: u8 = 1;
+const PROTOCOL_VERSION: u8 = 1;
 
-/// Bytes of a datagram: the protocol version, then the message.
+/// Encodes a datagram: the protocol version, then the message.
 ///
 /// # Errors
-/// Fails only when memory for the bytes cannot be had.
+/// Fails when the message cannot be serialized.
 ///
 /// ```
 /// use usher_types::{Hint, Message};
@@ -19,10 +19,10 @@
 /// # Ok::<(), usher_wire::WireError>(())
 /// ```
 pub fn encode_message(message: &Message) -> Result<Vec<u8>, WireError> {
-    postcard::to_extend(message, vec![PROTOCOL]).map_err(WireError::Datagram)
+    postcard::to_extend(message, vec![PROTOCOL_VERSION]).map_err(WireError::Datagram)
 }
 
-/// Reads a datagram.
+/// Decodes a datagram.
 ///
 /// # Errors
 /// Fails with [`WireError::Version`] or [`WireError::Datagram`] on malformed input.
@@ -32,7 +32,7 @@
 /// ```
 pub fn decode_message(bytes: &[u8]) -> Result<Message, WireError> {
     match bytes.split_first() {
-        Some((&PROTOCOL, rest)) => postcard::from_bytes(rest).map_err(WireError::Datagram),
+        Some((&PROTOCOL_VERSION, rest)) => postcard::from_bytes(rest).map_err(WireError::Datagram),
         Some((&other, _)) => Err(WireError::Version(other)),
         None => Err(WireError::Datagram(
             postcard::Error::DeserializeUnexpectedEnd,
--- a/crates/wire/src/meta.rs
+++ b/crates/wire/src/meta.rs
@@ -7,7 +7,7 @@
 pub struct Meta {
     /// Idempotency key, the same in every attempt.
     pub key: RequestKey,
-    /// The request may not be repeated.
+    /// The request must not run more than once.
     #[serde(default)]
     pub once: bool,
     /// Time left when the caller sent the request, in milliseconds.
@@ -22,7 +22,7 @@
     /// Attempts left across all layers.
     #[serde(default)]
     pub budget: Option<Budget>,
-    /// Precedence under overload; the profile's when absent.
+    /// Priority under overload; the profile's priority when absent.
     #[serde(default)]
     pub priority: Option<Priority>,
 }
--- a/crates/wire/src/packet.rs
+++ b/crates/wire/src/packet.rs
@@ -2,15 +2,15 @@
 
 use crate::WireError;
 
-/// Bytes of a packet between the fabric and the system.
+/// Encodes a packet between the fabric and the system.
 ///
 /// # Errors
-/// Fails only when memory for the bytes cannot be had.
+/// Fails when the packet cannot be serialized.
 pub fn encode_packet(packet: &Packet) -> Result<Vec<u8>, WireError> {
     postcard::to_stdvec(packet).map_err(WireError::Packet)
 }
 
-/// Reads a packet between the fabric and the system.
+/// Decodes a packet between the fabric and the system.
 ///
 /// # Errors
 /// Fails with [`WireError::Packet`] on malformed input.
--- a/crates/wire/src/request.rs
+++ b/crates/wire/src/request.rs
@@ -16,11 +16,11 @@
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestMessage {
-    /// The caller's id, repeated in the response.
+    /// The caller's JSON-RPC id, repeated in the response.
     pub id: Value,
     /// Method name.
     pub method: String,
-    /// What the system needs to know.
+    /// Metadata that the system reads.
     pub meta: Meta,
     /// `params.body` as JSON text, not read by the system.
     pub body: Payload,
@@ -43,7 +43,7 @@
 }
 
 impl RequestMessage {
-    /// JSON text of the request.
+    /// Encodes the request as JSON.
     ///
     /// # Errors
     /// Fails when `body` is not JSON text.
@@ -61,7 +61,7 @@
         serde_json::to_vec(&envelope).map_err(WireError::Request)
     }
 
-    /// Reads a request.
+    /// Decodes a request.
     ///
     /// # Errors
     /// Fails with [`WireError::Request`] on malformed input.
--- a/crates/wire/src/response.rs
+++ b/crates/wire/src/response.rs
@@ -21,9 +21,9 @@
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResponseMessage {
-    /// Id of the request.
+    /// JSON-RPC id of the request.
     pub id: Value,
-    /// What the caller is told.
+    /// Outcome that is reported to the caller.
     pub outcome: Outcome,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl ResponseMessage {
-    /// JSON text of the response.
+    /// Encodes the response as JSON.
     ///
     /// # Errors
     /// Fails when the outcome's payload is not JSON text.
@@ -72,16 +72,16 @@
         serde_json::to_vec(&envelope).map_err(WireError::Response)
     }
 
-    /// Reads a response.
+    /// Decodes a response.
     ///
     /// # Errors
     /// Fails with [`WireError::Response`] on malformed input.
     pub fn decode(bytes: &[u8]) -> Result<Self, WireError> {
         let envelope: Envelope = serde_json::from_slice(bytes).map_err(WireError::Response)?;
         let outcome = match (envelope.result, envelope.error) {
-            (_, Some(error)) => failure(&error)?,
+            (_, Some(error)) => decode_error(&error)?,
             (Some(result), None) => Outcome::Answered(payload(&result)),
-            // `"result": null` reads as no result.
+            // serde decodes `"result": null` as an absent result.
             (None, None) => Outcome::Answered(Payload::from(b"null".as_slice())),
         };
         Ok(Self {
@@ -122,13 +122,13 @@
     serde_json::value::to_raw_value(object).map_err(WireError::Response)
 }
 
-fn failure(error: &RawValue) -> Result<Outcome, WireError> {
-    let head: Value = serde_json::from_str(error.get()).map_err(WireError::Response)?;
-    match head["code"].as_i64() {
+fn decode_error(error: &RawValue) -> Result<Outcome, WireError> {
+    let fields: Value = serde_json::from_str(error.get()).map_err(WireError::Response)?;
+    match fields["code"].as_i64() {
         Some(code) if code == i64::from(UNKNOWN) => Ok(Outcome::Unknown),
         Some(code) if code == i64::from(NOT_RUN) => {
             let data: ErrorData =
-                serde_json::from_value(head["data"].clone()).map_err(WireError::Response)?;
+                serde_json::from_value(fields["data"].clone()).map_err(WireError::Response)?;
             let retry = Span::from_millis(data.retry_after_ms);
             Ok(Outcome::NotRun {
                 refusal: data.refusal,
--- a/crates/wire/src/run.rs
+++ b/crates/wire/src/run.rs
@@ -2,7 +2,7 @@
 use serde_json::value::RawValue;
 use usher_types::{RequestKey, Time};
 
-/// JSON-RPC error code of a backend server that did not start a run.
+/// JSON-RPC error code for a run that the backend server did not start.
 pub const RUN_NOT_STARTED: i32 = -32_010;
 
 /// Parameters of `run`, from an agent to its backend server.
@@ -10,13 +10,13 @@
 /// Times are readings of the host's monotonic clock, which both processes share.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RunRequest {
-    /// Numbers the run for `cancel`.
+    /// Number of the run, which `cancel` refers to.
     pub run: u64,
     /// The caller's idempotency key.
     pub key: RequestKey,
     /// Method name.
     pub method: String,
-    /// The run may not start after this time.
+    /// The run must not start after this time.
     pub start_by: Option<Time>,
     /// The caller stops waiting at this time.
     pub deadline: Time,
