--- a/crates/runtime/src/agent/control.rs
+++ b/crates/runtime/src/agent/control.rs
@@ -19,10 +19,11 @@
 use crate::{AgentSettings, RuntimeError, event};
 use usher_clock::now;
 
+// Longest wait for an event.
 const IDLE: Duration = Duration::from_secs(1);
-// Packets on their way to this agent are passed on for this long after it has left the roster.
+// How long the agent forwards packets still in transit to it after it has left the roster.
 const LINGER: Span = Span::from_secs(2);
-const WAITING_REPORT: Span = Span::from_secs(5);
+const REPORT_INTERVAL: Span = Span::from_secs(5);
 
 /// Control state of an agent.
 pub(crate) struct Control {
@@ -31,8 +32,10 @@
     core: Core,
     worker: mpsc::Sender<WorkerEvent>,
     status: Status,
+    // Earlier rosters that may have an active owner; unknown before the first report.
     unsettled: Option<Vec<Version>>,
     suspected: Vec<HostId>,
+    // This process wrote the service's first roster.
     created: bool,
     was_member: bool,
     records_drained: bool,
@@ -76,7 +79,7 @@
         stop: Receiver<()>,
     ) -> Result<(), RuntimeError> {
         let _server = self.core.start().await?;
-        task::spawn(pass_stop(stop, self.core.events.clone()));
+        task::spawn(forward_stop(stop, self.core.events.clone()));
         self.advance(Event::Join(self.member()));
         while !self.is_finished() {
             match future::timeout(self.wait(), receiver.recv()).await {
@@ -120,7 +123,7 @@
             self.advance(Event::Tick);
         }
         if !self.phase.is_running() && now() >= self.next_report {
-            self.next_report = now() + WAITING_REPORT;
+            self.next_report = now() + REPORT_INTERVAL;
             event::WAITING.log(&[("phase", &self.phase)]);
         }
     }
@@ -141,11 +144,11 @@
             ControlEvent::Store(true) => self.advance(Event::StoreUp),
             ControlEvent::Store(false) => self.advance(Event::StoreDown),
             ControlEvent::Beat { source, beat } => {
-                self.compare(&beat.from, beat.revision);
+                self.compare_revision(&beat.from, beat.revision);
                 self.advance(Event::Beat { source, beat });
             }
             ControlEvent::BeatAck(ack) => {
-                self.compare(&ack.from, ack.revision);
+                self.compare_revision(&ack.from, ack.revision);
                 self.advance(Event::BeatAck(ack));
             }
             ControlEvent::Load {
@@ -177,10 +180,10 @@
         }
     }
 
-    // Peers may hold newer configuration while the store is down or serves old answers.
-    fn compare(&mut self, peer: &Peer, revision: Version) {
+    // Peers may hold newer configuration while the store is down or serves stale objects.
+    fn compare_revision(&mut self, peer: &Peer, revision: Version) {
         let service = Some(&self.settings.service);
-        self.core.compare(peer, service, revision);
+        self.core.compare_revision(peer, service, revision);
     }
 
     fn advance(&mut self, event: Event) {
@@ -191,7 +194,7 @@
                     self.suspected = hosts;
                 }
                 Action::Propose(proposal) => self.propose(proposal),
-                // The core sends heartbeats; balancers write their fleet.
+                // The core sends heartbeats, and balancers write fleets.
                 Action::Beat { .. }
                 | Action::Ack { .. }
                 | Action::Distrusted { .. }
@@ -200,7 +203,7 @@
         }
     }
 
-    // Gives the current configuration to membership and to the traffic thread.
+    // Passes the current configuration to membership and to the traffic thread.
     fn apply(&mut self) {
         let service = self.settings.service.clone();
         let centre = self.settings.common.centre.clone();
@@ -215,13 +218,13 @@
         self.check_left();
     }
 
-    // A process that has left still needs the roster that replaced it, to hand its records over.
+    // A process that has left the roster still needs the next one to hand its records over.
     fn view(&mut self, roster: &Arc<Roster>) -> Option<View> {
         let entry = self.core.state.service(&self.settings.service)?;
         let own = roster.members.get(&self.settings.host);
         let is_own = own.is_some_and(|member| member.incarnation == self.incarnation);
         self.was_member |= is_own;
-        // The watch may show the first roster before the answer to its write arrives.
+        // Taken from the roster: the watch may deliver it before the reply to its write arrives.
         self.created |= is_own && roster.earlier.is_empty() && roster.members.len() == 1;
         self.was_member.then(|| View {
             generation: entry.service.generation,
@@ -232,7 +235,7 @@
         })
     }
 
-    // The conditional write runs beside the control thread; its result comes back as an event.
+    // The conditional write runs in a task of its own; its result returns as an event.
     fn propose(&self, proposal: Proposal) {
         let (store, events) = (self.core.store.clone(), self.core.events.clone());
         let service = self.settings.service.clone();
@@ -263,7 +266,8 @@
         ]);
     }
 
-    // A planned stop ends when the roster no longer lists this agent and its records are kept by others.
+    // A planned stop ends when the roster no longer lists this agent and other hosts hold its
+    // records.
     fn check_left(&mut self) {
         let roster = self
             .core
@@ -290,15 +294,15 @@
             self.records_drained = true;
             self.phase = mem::take(&mut self.phase).finish();
         }
-        self.go_on();
+        self.leave_if_ready();
     }
 
     fn on_drained(&mut self) {
         self.phase = mem::take(&mut self.phase).finish();
-        self.go_on();
+        self.leave_if_ready();
     }
 
-    fn go_on(&mut self) {
+    fn leave_if_ready(&mut self) {
         if self.phase.may_leave() {
             self.phase = mem::take(&mut self.phase).leave();
             let _ = self.worker.send(WorkerEvent::Leave);
@@ -317,7 +321,7 @@
                 self.begin_drain(false);
                 let _ = reply.try_send(true);
             }
-            Call::Transfer(request, reply) => {
+            Call::TakeOver(request, reply) => {
                 let own = self.core.state.service(&self.settings.service);
                 let is_current =
                     own.is_some_and(|entry| request.generation >= entry.service.generation);
@@ -331,7 +335,7 @@
         }
     }
 
-    // The traffic thread adds what it owns.
+    // The traffic thread adds the fields that describe its state.
     fn answer_status(&self, reply: Sender<Value>) {
         let own = json!({
             "role": "agent",
@@ -358,7 +362,7 @@
     }
 }
 
-async fn pass_stop(stop: Receiver<()>, events: Sender<ControlEvent>) {
+async fn forward_stop(stop: Receiver<()>, events: Sender<ControlEvent>) {
     while stop.recv().await.is_ok() {
         if events.send(ControlEvent::Stop).await.is_err() {
             return;
--- a/crates/runtime/src/agent/deliver.rs
+++ b/crates/runtime/src/agent/deliver.rs
@@ -5,22 +5,22 @@
 
 const TOO_LONG: &[u8] = br#"{"code":-32003,"message":"MU-4101: answer too long"}"#;
 
-/// A caller's message.
+/// A decoded message from a caller.
 #[derive(Debug)]
 pub(crate) enum Delivered {
-    /// A request, and the JSON-RPC id to answer with.
+    /// A request, and the JSON-RPC id of its response.
     Request(Request, Value),
-    /// Gives up the request with this JSON-RPC id.
+    /// Cancels the request with this JSON-RPC id.
     Cancel(Value),
-    /// Not understood; the bytes are the answer.
+    /// A malformed message, and the response to it.
     Malformed(Vec<u8>),
 }
 
-/// Reads a caller's message.
+/// Decodes a message from a caller.
 pub(crate) fn parse(now: Time, profile: &Profile, id: RequestId, bytes: &[u8]) -> Delivered {
     if let Ok(message) = RequestMessage::decode(bytes) {
-        let number = message.id.clone();
-        return Delivered::Request(request(now, profile, id, message), number);
+        let rpc_id = message.id.clone();
+        return Delivered::Request(request(now, profile, id, message), rpc_id);
     }
     match CancelMessage::decode(bytes) {
         Ok(message) => Delivered::Cancel(message.id),
@@ -48,7 +48,7 @@
     }
 }
 
-/// JSON-RPC text of an outcome, short enough for a flow.
+/// Encodes an outcome as a JSON-RPC response within a flow's message limit.
 pub(crate) fn encode(id: Value, outcome: Outcome) -> Vec<u8> {
     let text = ResponseMessage {
         id: id.clone(),
@@ -58,7 +58,8 @@
     let replacement = match text {
         Ok(bytes) if bytes.len() <= MAX_MESSAGE_BYTES => return bytes,
         Ok(_) => Outcome::Failed(Payload::from(TOO_LONG)),
-        // The backend server's payload is not JSON: it ran, and its answer cannot be passed on.
+        // The backend server's payload is not JSON: the request ran, but its answer cannot be
+        // forwarded.
         Err(_) => Outcome::Unknown,
     };
     let response = ResponseMessage {
--- a/crates/runtime/src/agent/handover.rs
+++ b/crates/runtime/src/agent/handover.rs
@@ -13,11 +13,11 @@
 use super::worker_event::WorkerEvent;
 use crate::control::HandoverRequest;
 
-const TIMEOUT: Duration = Duration::from_secs(5);
-const RETRY: Duration = Duration::from_millis(300);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 const MAX_BODY_BYTES: u32 = 64 << 20;
 
-/// Hands flows over to a host and reports which ones it holds now.
+/// Hands flows over to a host and reports which of them it now holds.
 pub(crate) fn send_flows(
     host: HostId,
     admin: SocketAddrV4,
@@ -27,14 +27,14 @@
     task::spawn(async move {
         let flows = call(admin, &request).await.ok();
         if flows.is_none() {
-            task::sleep(RETRY).await;
+            task::sleep(RETRY_DELAY).await;
         }
-        // The process is ending when nobody receives.
+        // Fails only while the process is ending.
         let _ = reports.send(WorkerEvent::FlowsTaken { to: host, flows });
     });
 }
 
-/// Hands dedupe records over to a host; the ledger repeats what is not acknowledged.
+/// Hands dedupe records over to a host; the ledger repeats unacknowledged ones.
 pub(crate) fn send_records(
     host: HostId,
     admin: SocketAddrV4,
@@ -48,7 +48,7 @@
     });
 }
 
-/// Sends a message that is too large for a datagram; its sender repeats what gets no answer.
+/// Sends a message too large for a datagram; the sender repeats unanswered ones.
 pub(crate) fn send_message(admin: SocketAddrV4, request: HandoverRequest) {
     task::spawn(async move { call::<bool>(admin, &request).await });
 }
@@ -58,7 +58,7 @@
     request: &HandoverRequest,
 ) -> Result<T, ClientError> {
     let client = HttpClientBuilder::default()
-        .request_timeout(TIMEOUT)
+        .request_timeout(CALL_TIMEOUT)
         .max_request_size(MAX_BODY_BYTES)
         .build(format!("http://{admin}"))?;
     client.request("handover", rpc_params![request]).await
--- a/crates/runtime/src/agent/mod.rs
+++ b/crates/runtime/src/agent/mod.rs
@@ -46,21 +46,21 @@
     });
     let (events, receiver) = channel::unbounded::<ControlEvent>();
     let (to_worker, worker_events) = mpsc::channel::<WorkerEvent>();
-    let (commands, runs) = channel::unbounded();
+    let (commands, queue) = channel::unbounded();
     reader::start(&socket, to_worker.clone(), events.clone(), metrics.clone())?;
     let reports = to_worker.clone();
-    task::spawn(backend::serve(settings.backend, runs, move |report| {
-        // The process is ending when the traffic thread has gone.
+    task::spawn(backend::serve(settings.backend, queue, move |report| {
+        // Fails only while the process is ending.
         let _ = reports.send(WorkerEvent::Backend(report));
     }));
-    let parts = worker::Links {
+    let links = worker::Links {
         socket: clone(&socket)?,
         commands,
         events: events.clone(),
-        own: to_worker.clone(),
+        to_self: to_worker.clone(),
         metrics,
     };
-    let worker = Worker::new(settings.clone(), agent, parts);
+    let worker = Worker::new(settings.clone(), agent, links);
     thread::Builder::new()
         .name("traffic".to_owned())
         .spawn(move || worker.run(&worker_events))
--- a/crates/runtime/src/agent/phase.rs
+++ b/crates/runtime/src/agent/phase.rs
@@ -4,7 +4,7 @@
 
 use super::process::{Draining, Leaving, Left, Process, Running};
 
-/// Where the process stands in its life cycle.
+/// Current phase of the process's life cycle.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// Takes new work.
@@ -13,7 +13,7 @@
     Draining(Process<Draining>),
     /// Leaves the roster.
     Leaving(Process<Leaving>),
-    /// Is about to end.
+    /// Has left the roster and is about to end.
     Left(Process<Left>),
 }
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The roster no longer lists the process and others keep its records.
+    /// The roster no longer lists the process, and other hosts hold its records.
     pub(crate) fn left(self, now: Time) -> Self {
         match self {
             Self::Leaving(process) => Self::Left(process.left(now)),
--- a/crates/runtime/src/agent/process.rs
+++ b/crates/runtime/src/agent/process.rs
@@ -1,6 +1,6 @@
 use usher_types::Time;
 
-/// Life cycle of the agent's process; a transition consumes the state before it.
+/// Life cycle of the agent's process; each transition consumes the previous state.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct Process<State>(State);
 
@@ -19,7 +19,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct Leaving;
 
-/// Passes on late packets until it ends.
+/// Forwards late packets until the process ends.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct Left {
     since: Time,
@@ -30,14 +30,14 @@
         Self(Running)
     }
 
-    /// `stop` tells a planned stop from a drain that keeps the process.
+    /// `stop` distinguishes a planned stop from a drain that keeps the process running.
     pub(crate) fn drain(self, stop: bool) -> Process<Draining> {
         Process(Draining { stop, done: false })
     }
 }
 
 impl Process<Draining> {
-    /// A planned stop follows a drain that was already under way.
+    /// Turns a drain that has already begun into a planned stop.
     pub(crate) fn stop(self) -> Self {
         Self(Draining {
             stop: true,
--- a/crates/runtime/src/agent/reader.rs
+++ b/crates/runtime/src/agent/reader.rs
@@ -9,7 +9,7 @@
 use super::worker_event::WorkerEvent;
 use crate::control::ControlEvent;
 use crate::metrics::Metrics;
-use crate::socket::MAX_DATAGRAM;
+use crate::socket::MAX_DATAGRAM_BYTES;
 use crate::{RuntimeError, event, metric};
 
 /// Starts the thread that reads the agent's messages.
@@ -25,14 +25,14 @@
     thread.map(|_| ()).map_err(RuntimeError::Thread)
 }
 
-// Ends when the traffic thread has gone.
+// Returns when the traffic thread has ended.
 fn read(
     socket: &UdpSocket,
     worker: &mpsc::Sender<WorkerEvent>,
     control: &Sender<ControlEvent>,
     metrics: &Metrics,
 ) {
-    let mut buffer = vec![0; MAX_DATAGRAM];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, source)) = socket.recv_from(&mut buffer) else {
             continue;
@@ -48,7 +48,7 @@
                 continue;
             }
         };
-        // Heartbeats concern membership and, as lease renewals, the traffic thread.
+        // Heartbeats go to membership and, because they renew leases, also to the traffic thread.
         match &message {
             Message::Beat(beat) => {
                 let _ = control.try_send(ControlEvent::Beat {
--- a/crates/runtime/src/agent/runs.rs
+++ b/crates/runtime/src/agent/runs.rs
@@ -2,7 +2,7 @@
 
 use usher_types::RequestId;
 
-/// Numbers the runs at the backend server.
+/// Assigns numbers to the backend server's runs and maps them to requests.
 #[derive(Debug, Default)]
 pub(crate) struct Runs {
     next: u64,
--- a/crates/runtime/src/agent/worker.rs
+++ b/crates/runtime/src/agent/worker.rs
@@ -18,32 +18,33 @@
 use super::worker_event::WorkerEvent;
 use super::{deliver, handover};
 use crate::backend::{Command, Report};
-use crate::control::{Content, ControlEvent, HandoverRequest};
+use crate::control::{ControlEvent, HandoverContent, HandoverRequest};
 use crate::metrics::Metrics;
 use crate::{AgentSettings, event, metric, socket};
 use usher_clock::now;
 
+// Wait for an event when no timer is set.
 const IDLE: Span = Span::from_secs(1);
-const REPORT: Span = Span::from_millis(500);
+const REPORT_INTERVAL: Span = Span::from_millis(500);
 // Payloads above this do not fit one datagram of 65,507 bytes with the rest of their message.
-const MAX_PAYLOAD: usize = 60_000;
+const MAX_PAYLOAD_BYTES: usize = 60_000;
 
-/// What connects the traffic thread to the rest of the process.
+/// Socket, channels and metrics that connect the traffic thread to the process.
 pub(crate) struct Links {
     pub(crate) socket: UdpSocket,
     pub(crate) commands: Sender<Command>,
     pub(crate) events: Sender<ControlEvent>,
-    pub(crate) own: mpsc::Sender<WorkerEvent>,
+    pub(crate) to_self: mpsc::Sender<WorkerEvent>,
     pub(crate) metrics: Metrics,
 }
 
-/// The traffic thread of an agent: carries out what `AgentState` decides.
+/// The traffic thread of an agent: performs the actions that `AgentState` decides on.
 pub(crate) struct Worker {
     settings: AgentSettings,
     agent: AgentState,
     links: Links,
     runs: Runs,
-    // JSON-RPC ids and deadlines of the requests that wait for an answer.
+    // JSON-RPC ids and deadlines of the unanswered requests.
     ids: HashMap<RequestId, (Value, Time)>,
     burn: Burn,
     counts: Counts,
@@ -93,7 +94,7 @@
             WorkerEvent::View(view) => self.feed(Event::View(view)),
             WorkerEvent::Backend(report) => self.on_run(report),
             WorkerEvent::Handover { content, reply } => {
-                // Nobody waits when the call has timed out; the sender repeats it.
+                // Fails when the call has timed out; the sender then repeats it.
                 let _ = reply.try_send(self.take_over(content));
             }
             WorkerEvent::FlowsTaken { to, flows } => {
@@ -119,27 +120,27 @@
 
     fn feed(&mut self, event: Event) {
         for action in self.agent.handle(now(), event) {
-            self.act(action);
+            self.perform(action);
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Send { to, message } => self.send(to, message),
             Action::Packet(packet) => {
                 if let Ok(bytes) = encode_packet(&packet) {
-                    // A lost packet is sent again by the flow's timer.
+                    // The flow's timer resends lost packets.
                     let _ = self.links.socket.send_to(&bytes, self.settings.fabric);
                 }
             }
             Action::Deliver { id, bytes } => self.deliver(id, &bytes),
             Action::Answer { id, outcome } => {
-                let (number, deadline) = self.ids.remove(&id).unzip();
+                let (rpc_id, deadline) = self.ids.remove(&id).unzip();
                 if let Some(deadline) = deadline {
                     self.burn.count(now(), deadline, &outcome);
                 }
-                let number = number.unwrap_or_default();
-                let bytes = deliver::encode(number, outcome);
+                let rpc_id = rpc_id.unwrap_or_default();
+                let bytes = deliver::encode(rpc_id, outcome);
                 self.feed(Event::Reply { id, bytes });
             }
             Action::Run {
@@ -169,7 +170,7 @@
     }
 
     fn send(&self, to: SocketAddrV4, message: Message) {
-        if payload(&message).is_none_or(|payload| payload.len() <= MAX_PAYLOAD) {
+        if payload(&message).is_none_or(|payload| payload.len() <= MAX_PAYLOAD_BYTES) {
             return socket::send(&self.links.socket, to, &message);
         }
         let members = self.agent.view().map(|view| &view.roster.members);
@@ -178,7 +179,7 @@
             members.find(|(_, member)| member.agent == to)
         });
         let from = self.settings.listen;
-        let content = Content::Message { from, message };
+        let content = HandoverContent::Message { from, message };
         if let Some((host, _)) = receiver
             && let Some((admin, request)) = self.request(host, content)
         {
@@ -191,13 +192,13 @@
             return;
         };
         match deliver::parse(now(), &view.profile, id, bytes) {
-            Delivered::Request(request, number) => {
-                self.ids.insert(id, (number, request.deadline));
+            Delivered::Request(request, rpc_id) => {
+                self.ids.insert(id, (rpc_id, request.deadline));
                 self.feed(Event::Request(request));
             }
-            Delivered::Cancel(number) => {
-                self.cancel(&id, &number);
-                // Nothing is sent in answer to a notification.
+            Delivered::Cancel(rpc_id) => {
+                self.cancel(&id, &rpc_id);
+                // A notification has no response.
                 self.feed(Event::Reply {
                     id,
                     bytes: Vec::new(),
@@ -207,10 +208,10 @@
         }
     }
 
-    fn cancel(&mut self, notification: &RequestId, number: &Value) {
+    fn cancel(&mut self, notification: &RequestId, rpc_id: &Value) {
         let mut waiting = self.ids.iter();
         let found = waiting
-            .find(|(id, (known, _))| id.flow == notification.flow && known == number)
+            .find(|(id, (known, _))| id.flow == notification.flow && known == rpc_id)
             .map(|(id, _)| *id);
         if let Some(id) = found {
             self.feed(Event::Cancel(id));
@@ -269,11 +270,11 @@
         }
     }
 
-    fn take_over(&mut self, content: Content) -> Option<Value> {
+    fn take_over(&mut self, content: HandoverContent) -> Option<Value> {
         let event = match content {
-            Content::Flows(transfer) => Event::TakeFlows(transfer),
-            Content::Records(transfer) => Event::TakeRecords(transfer),
-            Content::Message { from, message } => {
+            HandoverContent::Flows(transfer) => Event::TakeFlows(transfer),
+            HandoverContent::Records(transfer) => Event::TakeRecords(transfer),
+            HandoverContent::Message { from, message } => {
                 self.feed(Event::Message { from, message });
                 return Some(json!(true));
             }
@@ -285,18 +286,18 @@
                 Action::TookRecords(roster) => answer = Some(json!(roster)),
                 _ => {}
             }
-            self.act(action);
+            self.perform(action);
         }
         answer
     }
 
     fn hand_over_flows(&self, host: HostId, transfer: usher_flows::Transfer) {
-        let own = self.links.own.clone();
-        match self.request(&host, Content::Flows(transfer)) {
-            Some((admin, request)) => handover::send_flows(host, admin, request, own),
-            // The roster no longer lists the receiver; the flow table picks another one.
+        let to_self = self.links.to_self.clone();
+        match self.request(&host, HandoverContent::Flows(transfer)) {
+            Some((admin, request)) => handover::send_flows(host, admin, request, to_self),
+            // The roster no longer lists the receiver; the flow table chooses another one.
             None => {
-                let _ = own.send(WorkerEvent::FlowsTaken {
+                let _ = to_self.send(WorkerEvent::FlowsTaken {
                     to: host,
                     flows: None,
                 });
@@ -305,13 +306,17 @@
     }
 
     fn hand_over_records(&self, host: HostId, transfer: usher_dedupe::Transfer) {
-        let own = self.links.own.clone();
-        if let Some((admin, request)) = self.request(&host, Content::Records(transfer)) {
-            handover::send_records(host, admin, request, own);
+        let to_self = self.links.to_self.clone();
+        if let Some((admin, request)) = self.request(&host, HandoverContent::Records(transfer)) {
+            handover::send_records(host, admin, request, to_self);
         }
     }
 
-    fn request(&self, host: &HostId, content: Content) -> Option<(SocketAddrV4, HandoverRequest)> {
+    fn request(
+        &self,
+        host: &HostId,
+        content: HandoverContent,
+    ) -> Option<(SocketAddrV4, HandoverRequest)> {
         let view = self.agent.view()?;
         let admin = view.roster.members.get(host)?.admin;
         let service = self.settings.service.clone();
@@ -325,10 +330,10 @@
         ))
     }
 
-    // Tells the control thread what the heartbeats are to carry.
+    // Sends metrics, and tells the control thread the load that its heartbeats carry.
     fn report(&mut self) {
         let time = now();
-        self.next_report = time + REPORT;
+        self.next_report = time + REPORT_INTERVAL;
         self.counts.flush(&self.links.metrics);
         let Some(summary) = self.agent.summary(time) else {
             return;
@@ -373,12 +378,12 @@
     }
 
     fn notify_control(&self, event: ControlEvent) {
-        // The process is ending when the control thread has gone.
+        // Fails only while the process is ending.
         let _ = self.links.events.try_send(event);
     }
 }
 
-// The payload of messages whose size the caller or the backend server decides.
+// Payload of the messages whose size depends on the caller or the backend server.
 fn payload(message: &Message) -> Option<&[u8]> {
     let Message::Agent { message, .. } = message else {
         return None;
--- a/crates/runtime/src/agent/worker_event.rs
+++ b/crates/runtime/src/agent/worker_event.rs
@@ -6,7 +6,7 @@
 use usher_types::{FlowId, HostId, Message, Version};
 
 use crate::backend::Report;
-use crate::control::Content;
+use crate::control::HandoverContent;
 
 /// Input of the traffic thread.
 #[derive(Debug)]
@@ -18,11 +18,11 @@
     },
     /// New control state.
     View(View),
-    /// News from the backend server.
+    /// A run's result or a change of the backend server's state.
     Backend(Report),
-    /// State handed over by another agent; answered through `reply`.
+    /// State handed over by another agent; the result goes to `reply`.
     Handover {
-        content: Content,
+        content: HandoverContent,
         reply: Sender<Option<Value>>,
     },
     /// A host has taken over flows, or `None` when it did not answer.
@@ -32,7 +32,7 @@
     },
     /// A host has taken over the records of a roster version.
     RecordsTaken { from: HostId, roster: Version },
-    /// State for the `status` call.
+    /// Asks for the traffic thread's part of the `status` call.
     Status(Sender<Value>),
     /// A drain begins.
     Drain,
--- a/crates/runtime/src/backend.rs
+++ b/crates/runtime/src/backend.rs
@@ -20,46 +20,47 @@
 use crate::event;
 use usher_clock::now;
 
-const RECONNECT: Duration = Duration::from_millis(200);
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-// A run may outlive its caller's deadline; its outcome is still worth knowing for this long.
-const OVERTIME: Span = Span::from_secs(30);
-// A leaving backend server gets no new work within a few seconds.
-const HEALTH: Duration = Duration::from_secs(1);
-const MAX_ANSWER_BYTES: u32 = 64 << 20;
-
-// Load figures of the endpoint lag or mislead, so only the intention to leave is read.
+// A run may finish after its caller's deadline; its outcome is awaited this much longer,
+// because it is still useful.
+const OUTCOME_GRACE: Span = Span::from_secs(30);
+// Short enough that a leaving backend server stops receiving new work within a few seconds.
+const HEALTH_INTERVAL: Duration = Duration::from_secs(1);
+const MAX_RESPONSE_BYTES: u32 = 64 << 20;
+
+// The endpoint's load figures lag or mislead, so only the `leaving` flag is read.
 #[derive(Debug, Deserialize)]
 struct Health {
     #[serde(default)]
     leaving: bool,
 }
 
-/// What the agent asks of its backend server.
+/// A command from the agent to its backend server.
 #[derive(Debug)]
 pub(crate) enum Command {
     /// Runs a request.
     Run(RunRequest),
-    /// Ends a run early.
+    /// Cancels the run with this number.
     Cancel(u64),
 }
 
-/// What became of a run, or of the connection.
+/// The result of a run, or a change of the backend server's state.
 #[derive(Debug)]
 pub(crate) enum Report {
     /// The backend server answered.
     Finished { run: u64, outcome: Outcome },
     /// The run did not start and will not.
     NotStarted { run: u64 },
-    /// The run may have started; its outcome is lost.
+    /// The run may have started; its outcome is unknown.
     Lost { run: u64 },
-    /// The connection was made or lost.
+    /// The connection was established (true) or lost (false).
     Connected(bool),
-    /// The backend server says that it is leaving.
+    /// The backend server announced that it is leaving.
     Leaving,
 }
 
-/// Serves commands until their channel closes, reconnecting as needed.
+/// Sends commands to the backend server until their channel closes, reconnecting as needed.
 pub(crate) async fn serve<F>(address: SocketAddrV4, commands: Receiver<Command>, report: F)
 where
     F: Fn(Report) + Clone + Send + 'static,
@@ -83,7 +84,7 @@
     }
 }
 
-// While there is no connection, runs are refused at once; `None` when the channel is closed.
+// Connects, and refuses runs at once until it succeeds; `None` when the channel is closed.
 async fn connect<F>(
     address: SocketAddrV4,
     commands: &Receiver<Command>,
@@ -95,18 +96,18 @@
     loop {
         let builder = WsClientBuilder::default()
             .connection_timeout(CONNECT_TIMEOUT)
-            .max_response_size(MAX_ANSWER_BYTES)
+            .max_response_size(MAX_RESPONSE_BYTES)
             .request_timeout(Duration::from_hours(24));
         if let Ok(client) = builder.build(format!("ws://{address}")).await {
             return Some(Arc::new(client));
         }
-        if !refuse_for(RECONNECT, commands, report).await {
+        if !refuse_for(RECONNECT_DELAY, commands, report).await {
             return None;
         }
     }
 }
 
-// Answers commands with "not started" for a while; false when the channel is closed.
+// Reports runs as not started until `pause` has passed; false when the channel is closed.
 async fn refuse_for<F: Fn(Report)>(
     pause: Duration,
     commands: &Receiver<Command>,
@@ -124,17 +125,17 @@
     }
 }
 
-// Reports once when the backend server begins to leave; never ends by itself.
+// Reports once each time the backend server begins to leave; never returns.
 async fn watch_health<F: Fn(Report)>(client: Arc<WsClient>, report: F) -> bool {
     let mut leaving = false;
     loop {
-        task::sleep(HEALTH).await;
+        task::sleep(HEALTH_INTERVAL).await;
         let health = client.request::<Health, _>("health", rpc_params![]).await;
-        let leaves = health.is_ok_and(|health| health.leaving);
-        if leaves && !leaving {
+        let is_leaving = health.is_ok_and(|health| health.leaving);
+        if is_leaving && !leaving {
             report(Report::Leaving);
         }
-        leaving = leaves;
+        leaving = is_leaving;
     }
 }
 
@@ -172,7 +173,7 @@
 
 async fn run(client: &WsClient, request: RunRequest) -> Report {
     let run = request.run;
-    let limit = request.deadline - now() + OVERTIME;
+    let limit = request.deadline - now() + OUTCOME_GRACE;
     let limit = Duration::from_micros(limit.as_micros());
     let call = client.request::<Box<RawValue>, _>("run", RunParams(&request));
     match future::timeout(limit, call).await {
@@ -210,6 +211,6 @@
 }
 
 async fn cancel(client: &WsClient, run: u64) {
-    // The run ends by itself if this is lost.
+    // If this call is lost, the run ends by itself.
     let _ = client.request::<bool, _>("cancel", rpc_params![run]).await;
 }
--- a/crates/runtime/src/balancer/control.rs
+++ b/crates/runtime/src/balancer/control.rs
@@ -20,6 +20,7 @@
 use crate::{BalancerSettings, RuntimeError, event, metric};
 use usher_clock::now;
 
+// Wait for an event when no timer is set.
 const IDLE: Duration = Duration::from_secs(1);
 
 /// Control state of a balancer.
@@ -29,13 +30,14 @@
     core: Core,
     router: Arc<ArcSwap<Router>>,
     metrics: Metrics,
-    entry: FleetEntry,
+    fleet_entry: FleetEntry,
     tables: IndexMap<ServiceName, Arc<Table>>,
     quarantine: Quarantine,
+    // When the quarantine next releases an address.
     release: Option<Time>,
     suspected: IndexMap<ServiceName, Vec<HostId>>,
     was_listed: bool,
-    // The router is out of date; it is published once for all that one event changes.
+    // The published router is out of date; it is replaced once for all changes of one event.
     outdated: bool,
 }
 
@@ -55,7 +57,7 @@
         };
         let core = Core::new(identity, settings.common.clone(), socket, events);
         Self {
-            entry: FleetEntry::new(core.store.clone(), &settings, incarnation),
+            fleet_entry: FleetEntry::new(core.store.clone(), &settings, incarnation),
             core,
             settings,
             incarnation,
@@ -78,22 +80,22 @@
         let _server = self.core.start().await?;
         self.join();
         let stop = async {
-            // A closed channel means that nobody can ask for a stop.
+            // No stop can arrive on a closed channel.
             if stop.recv().await.is_err() {
                 future::pending::<()>().await;
             }
         };
-        stop.race(self.work(receiver)).await;
+        stop.race(self.process_events(receiver)).await;
         event::STOPPING.log(&[]);
-        self.entry.leave().await;
+        self.fleet_entry.leave().await;
         Ok(())
     }
 
     fn join(&self) {
-        task::spawn(self.entry.clone().join());
+        task::spawn(self.fleet_entry.clone().join());
     }
 
-    async fn work(&mut self, receiver: Receiver<ControlEvent>) {
+    async fn process_events(&mut self, receiver: Receiver<ControlEvent>) {
         loop {
             match future::timeout(self.wait(), receiver.recv()).await {
                 Ok(Ok(event)) => self.handle(event),
@@ -131,11 +133,11 @@
             ControlEvent::Store(true) => self.advance(Event::StoreUp),
             ControlEvent::Store(false) => self.advance(Event::StoreDown),
             ControlEvent::Beat { source, beat } => {
-                self.compare(&beat.from, beat.revision);
+                self.compare_revision(&beat.from, beat.revision);
                 self.advance(Event::Beat { source, beat });
             }
             ControlEvent::BeatAck(ack) => {
-                self.compare(&ack.from, ack.revision);
+                self.compare_revision(&ack.from, ack.revision);
                 self.advance(Event::BeatAck(ack));
             }
             ControlEvent::Call(call) => self.answer(call),
@@ -149,9 +151,9 @@
         }
     }
 
-    // Peers may hold newer configuration while the store is down or serves old answers.
-    fn compare(&mut self, peer: &Peer, revision: Version) {
-        self.core.compare(peer, None, revision);
+    // Peers may hold newer configuration while the store is down or serves stale objects.
+    fn compare_revision(&mut self, peer: &Peer, revision: Version) {
+        self.core.compare_revision(peer, None, revision);
     }
 
     fn advance(&mut self, event: Event) {
@@ -159,9 +161,9 @@
             match action {
                 Action::Suspected { service, hosts } => self.suspect(service, hosts),
                 Action::ProposeFleet(proposal) => {
-                    task::spawn(self.entry.clone().remove(proposal));
+                    task::spawn(self.fleet_entry.clone().remove(proposal));
                 }
-                // The core sends heartbeats; agents write rosters.
+                // The core sends heartbeats, and agents write rosters.
                 Action::Beat { .. }
                 | Action::Ack { .. }
                 | Action::Distrusted { .. }
@@ -180,17 +182,17 @@
         self.outdated = true;
     }
 
-    // Rebuilds the tables that a change of configuration touches.
+    // Rebuilds the tables that a change of configuration affects.
     fn apply(&mut self, changed: &BTreeSet<ObjectKey>) {
         if changed.is_empty() {
             return;
         }
         self.forget_deleted();
-        let touched: Vec<Entry> = self.touched(changed).cloned().collect();
-        for entry in touched {
+        let affected: Vec<Entry> = self.affected(changed).cloned().collect();
+        for entry in affected {
             self.rebuild(&entry);
         }
-        self.watch_fleet(changed);
+        self.apply_fleet(changed);
         self.outdated = true;
     }
 
@@ -214,10 +216,10 @@
         }
     }
 
-    fn touched(&self, changed: &BTreeSet<ObjectKey>) -> impl Iterator<Item = &Entry> {
+    fn affected(&self, changed: &BTreeSet<ObjectKey>) -> impl Iterator<Item = &Entry> {
         self.core.state.services().filter(move |entry| {
             changed.iter().any(|key| match key.kind {
-                // A service that clashed with the changed one comes back without a table.
+                // A service that conflicted with the changed one becomes valid without a table.
                 Kind::Service => {
                     let is_named = key.name.as_str() == entry.name.as_str();
                     is_named || !self.tables.contains_key(&entry.name)
@@ -250,7 +252,7 @@
         self.advance(Event::Roster { service, roster });
     }
 
-    fn watch_fleet(&mut self, changed: &BTreeSet<ObjectKey>) {
+    fn apply_fleet(&mut self, changed: &BTreeSet<ObjectKey>) {
         let centre = self.settings.common.centre.clone();
         if !changed
             .iter()
@@ -261,7 +263,7 @@
         if let Some(fleet) = self.core.state.fleet(centre.as_str()) {
             let is_listed = fleet.balancers.contains_key(&self.settings.instance);
             self.advance(Event::Fleet { centre, fleet });
-            // Others removed this balancer while they did not hear it.
+            // Other balancers removed this one because they did not receive its heartbeats.
             if self.was_listed && !is_listed {
                 event::UNLISTED.log(&[("centre", &self.settings.common.centre)]);
                 self.join();
@@ -304,7 +306,7 @@
             Call::Drain(reply) => {
                 let _ = reply.try_send(false);
             }
-            Call::Transfer(_, reply) => {
+            Call::TakeOver(_, reply) => {
                 let _ = reply.try_send(None);
             }
         }
@@ -324,7 +326,9 @@
     }
 }
 
-/// Milliseconds of wall-clock time, so that a later process on the same host has a higher one.
+/// Wall-clock time in milliseconds.
+///
+/// A later process on the same host has a higher incarnation.
 pub(crate) fn incarnation() -> Incarnation {
     let since = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
--- a/crates/runtime/src/balancer/fleet_entry.rs
+++ b/crates/runtime/src/balancer/fleet_entry.rs
@@ -8,7 +8,7 @@
 use crate::control::edit_fleet;
 use crate::{BalancerSettings, event};
 
-const RETRY: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 // A planned stop does not wait for a store that is down; the other balancers remove the entry.
 const LEAVE_ATTEMPTS: usize = 5;
 
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Writes the entry until the store has it.
+    /// Writes the entry, and retries until the store has accepted it.
     pub(crate) async fn join(self) {
         loop {
             let edit = |fleet: &mut Fleet| {
@@ -48,11 +48,11 @@
                 Ok(_) => return event::JOINED.log(&[("centre", &self.centre)]),
                 Err(error) => event::ROSTER_WRITE.log(&[("fault", &error)]),
             }
-            task::sleep(RETRY).await;
+            task::sleep(RETRY_DELAY).await;
         }
     }
 
-    /// Removes the entry of this process; one of a later process stays.
+    /// Removes the entry of this process; a later process's entry stays.
     pub(crate) async fn leave(self) {
         for _ in 0..LEAVE_ATTEMPTS {
             let edit = |fleet: &mut Fleet| {
@@ -65,13 +65,14 @@
                 Ok(_) => return event::LEFT.log(&[("centre", &self.centre)]),
                 Err(error) => event::ROSTER_WRITE.log(&[("fault", &error)]),
             }
-            task::sleep(RETRY).await;
+            task::sleep(RETRY_DELAY).await;
         }
     }
 
     /// Removes silent balancers.
     ///
-    /// A write that loses a race is not repeated: the next heartbeat decides on the newer fleet.
+    /// A write that conflicts with another is not repeated: the next heartbeat decides on the newer
+    /// fleet.
     pub(crate) async fn remove(self, proposal: FleetProposal) {
         let edit = |fleet: &mut Fleet| match proposal.apply(fleet) {
             Some(changed) => {
--- a/crates/runtime/src/balancer/traffic.rs
+++ b/crates/runtime/src/balancer/traffic.rs
@@ -10,15 +10,15 @@
 
 use crate::control::ControlEvent;
 use crate::metrics::Metrics;
-use crate::socket::{self, MAX_DATAGRAM};
+use crate::socket::{self, MAX_DATAGRAM_BYTES};
 use crate::{BalancerSettings, RuntimeError, event, metric};
 
-// Enough that two traffic threads seldom want the same part of the hints.
+// Enough that two traffic threads seldom contend for the lock of one part of the hints.
 const SHARDS: usize = 16;
-// Counters go to the metrics client in batches, off the path of single packets.
-const BATCH: u64 = 256;
+// Counters go to the metrics client once per this many packets, not for each packet.
+const FLUSH_PACKETS: u64 = 256;
 
-/// What the traffic threads of a balancer share.
+/// State that the traffic threads of a balancer share.
 #[derive(Debug, Clone)]
 pub(crate) struct Traffic {
     router: Arc<ArcSwap<Router>>,
@@ -67,7 +67,7 @@
 
     // All threads block on one socket; the kernel wakes one for each datagram.
     fn forward_packets(&self, socket: &UdpSocket) {
-        let mut buffer = vec![0; MAX_DATAGRAM];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         let mut counts = Counts::default();
         loop {
             let Ok((length, _)) = socket.recv_from(&mut buffer) else {
@@ -77,7 +77,7 @@
                 Ok(()) => counts.forwarded += 1,
                 Err(reason) => counts.drop(&reason),
             }
-            if counts.total() >= BATCH {
+            if counts.total() >= FLUSH_PACKETS {
                 counts.flush(&self.metrics);
             }
         }
@@ -97,12 +97,12 @@
                 socket::send(socket, to, &Message::Relay(relay));
                 Ok(())
             }
-            Forward::Drop(reason) => Err(Dropped::Decided(reason)),
+            Forward::Drop(reason) => Err(Dropped::NotRouted(reason)),
         }
     }
 
     fn read_control(&self, socket: &UdpSocket, events: &Sender<ControlEvent>) {
-        let mut buffer = vec![0; MAX_DATAGRAM];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let Ok((length, source)) = socket.recv_from(&mut buffer) else {
                 continue;
@@ -145,7 +145,7 @@
 
 enum Dropped {
     Malformed,
-    Decided(DropReason),
+    NotRouted(DropReason),
 }
 
 #[derive(Debug, Default)]
@@ -161,9 +161,9 @@
     fn drop(&mut self, reason: &Dropped) {
         match reason {
             Dropped::Malformed => self.malformed += 1,
-            Dropped::Decided(DropReason::UnknownService) => self.unknown_service += 1,
-            Dropped::Decided(DropReason::NoMembers) => self.no_members += 1,
-            Dropped::Decided(DropReason::WrongDirection) => self.wrong_direction += 1,
+            Dropped::NotRouted(DropReason::UnknownService) => self.unknown_service += 1,
+            Dropped::NotRouted(DropReason::NoMembers) => self.no_members += 1,
+            Dropped::NotRouted(DropReason::WrongDirection) => self.wrong_direction += 1,
         }
     }
 
--- a/crates/runtime/src/control/call.rs
+++ b/crates/runtime/src/control/call.rs
@@ -14,7 +14,7 @@
 use crate::RuntimeError;
 
 const MAX_BODY_BYTES: u32 = 64 << 20;
-const GONE: i32 = -32_030;
+const CONTROL_ENDED: i32 = -32_030;
 const WRONG_SERVICE: i32 = -32_031;
 
 /// A call of the administration RPC that the control thread answers.
@@ -22,20 +22,20 @@
 pub(crate) enum Call {
     /// State of the process as a JSON object.
     Status(Sender<Value>),
-    /// Objects above a version.
-    Since(Version, Sender<Page>),
-    /// Begins a drain; the process goes on running.
+    /// Objects newer than a version.
+    Since(Version, Sender<ObjectBatch>),
+    /// Begins a drain; the process keeps running.
     Drain(Sender<bool>),
-    /// State of another agent, to be taken over by this one.
-    Transfer(HandoverRequest, Sender<Option<Value>>),
+    /// Takes over state from another agent.
+    TakeOver(HandoverRequest, Sender<Option<Value>>),
 }
 
-/// Objects that a process holds above a version.
+/// Objects that a process holds and that are newer than a version.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct Page {
-    /// Version up to which the process misses nothing.
+pub(crate) struct ObjectBatch {
+    /// Version up to which the process has every object.
     pub(crate) through: Version,
-    /// The objects, tombstones included.
+    /// The objects, including tombstones.
     pub(crate) objects: Vec<Object>,
 }
 
@@ -46,18 +46,18 @@
     pub(crate) service: ServiceName,
     /// Generation of the service's address that the sender knows.
     pub(crate) generation: Generation,
-    /// Flows or dedupe records.
-    pub(crate) content: Content,
+    /// Flows, dedupe records or a large message.
+    pub(crate) content: HandoverContent,
 }
 
-/// Content of a handover.
+/// State or message that a handover carries.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) enum Content {
-    /// Flows and directory entries; answered by the flows taken over.
+pub(crate) enum HandoverContent {
+    /// Flows and directory entries; the reply lists the flows taken over.
     Flows(usher_flows::Transfer),
-    /// Dedupe records; answered by the roster version of the transfer.
+    /// Dedupe records; the reply is the roster version of the transfer.
     Records(usher_dedupe::Transfer),
-    /// A message that is too large for a datagram; answered by `true`.
+    /// A message that is too large for a datagram; the reply is `true`.
     Message {
         from: SocketAddrV4,
         message: Message,
@@ -93,15 +93,15 @@
     })?;
     module.register_async_method("config.since", |params, events, _| async move {
         let version: Version = params.one()?;
-        let page = ask(&events, |reply| Call::Since(version, reply)).await?;
-        Ok::<Value, ErrorObjectOwned>(json!(page))
+        let batch = ask(&events, |reply| Call::Since(version, reply)).await?;
+        Ok::<Value, ErrorObjectOwned>(json!(batch))
     })?;
     module.register_async_method("drain", |_, events, _| async move {
         ask(&events, Call::Drain).await
     })?;
     module.register_async_method("handover", |params, events, _| async move {
         let request: HandoverRequest = params.one()?;
-        let taken = ask(&events, |reply| Call::Transfer(request, reply)).await?;
+        let taken = ask(&events, |reply| Call::TakeOver(request, reply)).await?;
         taken.ok_or_else(|| error(WRONG_SERVICE, "MU-6005: not taken over"))
     })?;
     Ok(module)
@@ -112,12 +112,12 @@
     call: impl FnOnce(Sender<T>) -> Call,
 ) -> Result<T, ErrorObjectOwned> {
     let (reply, answer): (Sender<T>, Receiver<T>) = channel::bounded(1);
-    let gone = || error(GONE, "MU-6004: the control thread ended");
+    let control_ended = || error(CONTROL_ENDED, "MU-6004: the control thread ended");
     events
         .send(ControlEvent::Call(call(reply)))
         .await
-        .map_err(|_closed| gone())?;
-    answer.recv().await.map_err(|_closed| gone())
+        .map_err(|_closed| control_ended())?;
+    answer.recv().await.map_err(|_closed| control_ended())
 }
 
 fn error(code: i32, text: &str) -> ErrorObjectOwned {
--- a/crates/runtime/src/control/catch_up.rs
+++ b/crates/runtime/src/control/catch_up.rs
@@ -4,23 +4,23 @@
 use async_std::task;
 use usher_types::{Peer, ServiceName, Span, Time, Version};
 
-use super::{ControlEvent, State, fetch_from_peers};
+use super::{ConfigState, ControlEvent, fetch_from_peers};
 
-// The store's watch usually brings a change first; a peer is asked only if it does not.
-const STORE_LEAD: Span = Span::from_secs(1);
+// The store's watch usually delivers a change first; a peer is asked only after this delay.
+const PEER_DELAY: Span = Span::from_secs(1);
 
-/// Fetches configuration from peers that hold a newer one than the store gave.
+/// Fetches configuration from peers that hold a newer version than this process.
 #[derive(Debug, Default)]
 pub(crate) struct CatchUp {
     behind_since: Option<Time>,
 }
 
 impl CatchUp {
-    /// Notes the version that a peer reports, and asks the peer when this process stays behind.
-    pub(crate) fn note(
+    /// Compares a peer's revision; asks the peer if this process stays behind.
+    pub(crate) fn on_revision(
         &mut self,
         now: Time,
-        state: &State,
+        state: &ConfigState,
         (peer, service): (&Peer, Option<&ServiceName>),
         revision: Version,
         events: &Sender<ControlEvent>,
@@ -30,7 +30,7 @@
             return;
         }
         let since = *self.behind_since.get_or_insert(now);
-        if now - since < STORE_LEAD {
+        if now - since < PEER_DELAY {
             return;
         }
         self.behind_since = None;
@@ -39,13 +39,13 @@
         }
     }
 
-    /// Notes that the process has taken over a newer version.
-    pub(crate) fn advanced(&mut self) {
+    /// Restarts the delay, because the process adopted a newer version.
+    pub(crate) fn reset(&mut self) {
         self.behind_since = None;
     }
 
-    /// Asks the given addresses at the start of a process.
-    pub(crate) fn at_start(peers: Vec<SocketAddrV4>, events: &Sender<ControlEvent>) {
+    /// Asks the given peers for all objects, at the start of the process.
+    pub(crate) fn fetch_at_start(peers: Vec<SocketAddrV4>, events: &Sender<ControlEvent>) {
         task::spawn(fetch_from_peers(peers, Version::default(), events.clone()));
     }
 }
--- a/crates/runtime/src/control/core.rs
+++ b/crates/runtime/src/control/core.rs
@@ -11,16 +11,16 @@
 use usher_store::{Limits, Store};
 use usher_types::{Message, Peer, ServiceName, Time, Version};
 
-use super::{CatchUp, ControlEvent, State, follow, serve};
+use super::{CatchUp, ConfigState, ControlEvent, follow, serve};
 use crate::{Common, RuntimeError, socket};
 use usher_clock::now;
 
-/// What the control threads of both roles do alike: configuration and membership.
+/// Configuration and membership, which the control threads of both roles share.
 pub(crate) struct Core {
-    /// The project's objects in the platform's store.
+    /// Client of the platform's store.
     pub(crate) store: Store,
     /// Configuration and rosters that this process knows.
-    pub(crate) state: State,
+    pub(crate) state: ConfigState,
     /// Input of the control thread.
     pub(crate) events: Sender<ControlEvent>,
     common: Common,
@@ -38,7 +38,7 @@
     ) -> Self {
         Self {
             store: Store::new(common.store, Limits::default()),
-            state: State::default(),
+            state: ConfigState::default(),
             events,
             common,
             socket,
@@ -47,11 +47,11 @@
         }
     }
 
-    /// Serves the administration RPC and follows the store; peers are asked as well.
+    /// Serves the administration RPC, follows the store and asks the peers from the settings.
     pub(crate) async fn start(&self) -> Result<ServerHandle, RuntimeError> {
         let server = serve(self.common.admin, self.events.clone()).await?;
         task::spawn(follow(self.store.clone(), self.events.clone()));
-        CatchUp::at_start(self.common.peers.clone(), &self.events);
+        CatchUp::fetch_at_start(self.common.peers.clone(), &self.events);
         Ok(server)
     }
 
@@ -65,13 +65,13 @@
         let before = self.state.complete();
         let changed = self.state.adopt(after, through, objects);
         if !changed.is_empty() || self.state.complete() > before {
-            self.catch_up.advanced();
+            self.catch_up.reset();
         }
         changed
     }
 
-    /// Asks a peer that holds newer configuration than the store gave.
-    pub(crate) fn compare(
+    /// Asks a peer for configuration if it stays ahead of this process.
+    pub(crate) fn compare_revision(
         &mut self,
         peer: &Peer,
         service: Option<&ServiceName>,
@@ -79,12 +79,12 @@
     ) {
         let peer = (peer, service);
         self.catch_up
-            .note(now(), &self.state, peer, revision, &self.events);
+            .on_revision(now(), &self.state, peer, revision, &self.events);
     }
 
-    /// Feeds membership, sends its heartbeats and returns the actions that are left.
+    /// Passes an event to membership, sends its heartbeats and returns the other actions.
     pub(crate) fn advance(&mut self, event: Event) -> Vec<Action> {
-        let mut left = Vec::new();
+        let mut remaining = Vec::new();
         for action in self.membership.handle(now(), event) {
             match action {
                 Action::Beat { to, beat } => {
@@ -96,13 +96,13 @@
                 Action::Ack { to, ack } => {
                     socket::send(&self.socket, to, &Message::BeatAck(ack));
                 }
-                other => left.push(other),
+                other => remaining.push(other),
             }
         }
-        left
+        remaining
     }
 
-    /// When membership next wants a tick.
+    /// When membership next needs a tick.
     pub(crate) fn next_timer(&self) -> Option<Time> {
         self.membership.next_timer()
     }
--- a/crates/runtime/src/control/event.rs
+++ b/crates/runtime/src/control/event.rs
@@ -21,7 +21,7 @@
     Beat { source: SocketAddrV4, beat: Beat },
     /// A heartbeat was acknowledged.
     BeatAck(BeatAck),
-    /// What the traffic thread of an agent measures.
+    /// Measurements of an agent's traffic thread, and its unsettled roster versions.
     Load {
         wait: Span,
         weight: Weight,
@@ -33,7 +33,7 @@
     Drained,
     /// The traffic thread has handed over its dedupe records.
     RecordsDrained,
-    /// The backend server says that it is leaving.
+    /// The backend server announced that it is leaving.
     Leaving,
     /// A conditional write of the roster ended.
     Written(Option<Arc<Roster>>),
--- a/crates/runtime/src/control/feed.rs
+++ b/crates/runtime/src/control/feed.rs
@@ -9,13 +9,13 @@
 use usher_store::{Batch, Store};
 use usher_types::{Span, Version};
 
-use super::{ControlEvent, Page};
+use super::{ControlEvent, ObjectBatch};
 use crate::event;
 
-// The platform counts a waiting watch as one call. A watch that a hanging store swallowed is
-// given up soon enough for a change to be in force within 4 s of the return of the store.
-const WATCH: Span = Span::from_secs(2);
-const PAUSE: Duration = Duration::from_millis(500);
+// The platform counts a waiting watch as one call. A watch that a hung store never answers is
+// abandoned early enough that a change is in force within 4 s after the store recovers.
+const WATCH_WAIT: Span = Span::from_secs(2);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Follows the store's changes until the control thread ends.
@@ -23,16 +23,16 @@
     let mut since = Version::default();
     let mut up = None;
     loop {
-        // The first call does not wait, so that a process starts at once.
+        // The first call does not wait for a change, so that the process starts at once.
         let wait = if since == Version::default() {
             Span::ZERO
         } else {
-            WATCH
+            WATCH_WAIT
         };
         let batch = store.watch(None, since, wait).await;
         if up != Some(batch.is_ok()) {
             up = Some(batch.is_ok());
-            report(batch.is_ok());
+            log_store(batch.is_ok());
             if events
                 .send(ControlEvent::Store(batch.is_ok()))
                 .await
@@ -48,15 +48,15 @@
                     return;
                 }
                 if since == Version::default() {
-                    task::sleep(PAUSE).await;
+                    task::sleep(RETRY_DELAY).await;
                 }
             }
-            Err(_) => task::sleep(PAUSE).await,
+            Err(_) => task::sleep(RETRY_DELAY).await,
         }
     }
 }
 
-fn report(up: bool) {
+fn log_store(up: bool) {
     if up {
         event::STORE_UP.log(&[]);
     } else {
@@ -84,14 +84,14 @@
         .is_ok()
 }
 
-/// Asks peers for objects above a version, until one answers.
+/// Fetches the objects newer than a version from each peer that answers.
 pub(crate) async fn fetch_from_peers(
     peers: Vec<SocketAddrV4>,
     after: Version,
     events: Sender<ControlEvent>,
 ) {
     for peer in peers {
-        let Ok(Page { through, objects }) = since(peer, after).await else {
+        let Ok(ObjectBatch { through, objects }) = since(peer, after).await else {
             continue;
         };
         event::CONFIG_PEER.log(&[("peer", &peer), ("objects", &objects.len())]);
@@ -106,7 +106,10 @@
     }
 }
 
-async fn since(peer: SocketAddrV4, after: Version) -> Result<Page, jsonrpsee::core::ClientError> {
+async fn since(
+    peer: SocketAddrV4,
+    after: Version,
+) -> Result<ObjectBatch, jsonrpsee::core::ClientError> {
     let client = HttpClientBuilder::default()
         .request_timeout(PEER_TIMEOUT)
         .build(format!("http://{peer}"))?;
--- a/crates/runtime/src/control/mod.rs
+++ b/crates/runtime/src/control/mod.rs
@@ -10,10 +10,10 @@
 mod writer;
 
 pub(crate) use self::core::Core;
-pub(crate) use call::{Call, Content, HandoverRequest, Page, serve};
+pub(crate) use call::{Call, HandoverContent, HandoverRequest, ObjectBatch, serve};
 pub(crate) use catch_up::CatchUp;
 pub(crate) use event::ControlEvent;
 pub(crate) use feed::{fetch_from_peers, follow};
-pub(crate) use state::State;
+pub(crate) use state::ConfigState;
 pub(crate) use suspicion::log_suspicion;
 pub(crate) use writer::{edit_fleet, edit_roster};
--- a/crates/runtime/src/control/state.rs
+++ b/crates/runtime/src/control/state.rs
@@ -6,17 +6,17 @@
 use usher_config::{Cache, Catalog, Entry, Kind, Object, ObjectKey, Value};
 use usher_types::{Fleet, Peer, Roster, ServiceName, Version};
 
-use super::Page;
+use super::ObjectBatch;
 use crate::event;
 
 /// Configuration and rosters that this process knows.
 #[derive(Debug, Default)]
-pub(crate) struct State {
+pub(crate) struct ConfigState {
     cache: Cache,
     entries: IndexMap<ServiceName, Entry>,
 }
 
-impl State {
+impl ConfigState {
     /// Adopts objects and returns the keys of those that were newer.
     pub(crate) fn adopt(
         &mut self,
@@ -52,21 +52,21 @@
             .is_none_or(|held| held.version < object.version)
     }
 
-    /// Version up to which nothing is missing.
+    /// Version up to which this process has every object.
     pub(crate) fn complete(&self) -> Version {
         self.cache.complete()
     }
 
-    /// Objects above a version, for a peer that asks.
-    pub(crate) fn since(&self, version: Version) -> Page {
+    /// Objects newer than a version, for a peer that asks.
+    pub(crate) fn since(&self, version: Version) -> ObjectBatch {
         let objects = self.cache.since(version).cloned().collect();
-        Page {
+        ObjectBatch {
             through: self.complete(),
             objects,
         }
     }
 
-    /// Administration RPC of a process that a roster or a fleet lists.
+    /// Address of a peer's administration RPC, from its roster or fleet.
     pub(crate) fn admin_of(
         &self,
         peer: &Peer,
@@ -109,7 +109,8 @@
         self.cache.fleet(centre)
     }
 
-    // Two racing operators can leave services that clash; the catalogue settles this everywhere alike.
+    // Concurrent edits can store conflicting services; the catalogue resolves the conflict in the
+    // same way in every process.
     fn rebuild_catalog(&mut self) {
         let catalog = Catalog::new(&self.cache);
         self.entries = catalog
--- a/crates/runtime/src/control/writer.rs
+++ b/crates/runtime/src/control/writer.rs
@@ -4,7 +4,7 @@
 use usher_store::{PlatformError, Store};
 use usher_types::{DataCentre, Fleet, Roster, ServiceName, Version};
 
-/// Changes a service's roster on condition of the version that was read.
+/// Edits a service's roster, with a write conditional on the version read.
 ///
 /// Returns the written roster, or `None` when `edit` finds nothing to change.
 ///
@@ -21,7 +21,7 @@
         Some(Value::Roster(roster)) => roster.clone(),
         _ => Roster::default(),
     };
-    // The version is no part of the encoded value; a deleted roster keeps the one of its tombstone.
+    // The encoded value does not contain the version; a deleted roster has its tombstone's.
     roster.version = current
         .as_ref()
         .map_or_else(Version::default, |object| object.version);
@@ -33,9 +33,9 @@
     Ok(Some(Arc::new(changed)))
 }
 
-/// Changes a data centre's list of balancers on condition of the version that was read.
+/// Edits a data centre's balancer list, with a write conditional on the version read.
 ///
-/// Returns whether it was written; `edit` tells whether anything changes.
+/// Returns whether the list was written; `edit` returns whether it changed anything.
 ///
 /// # Errors
 /// Fails when the store cannot be reached or another process wrote first.
@@ -68,7 +68,7 @@
     Ok(ObjectKey::new(kind, name))
 }
 
-// A tombstone is replaced on condition of its version, like a value.
+// A tombstone has a version too, and is replaced by a write conditional on it.
 fn condition(current: Option<&Object>) -> Condition {
     match current {
         Some(object) if object.version > Version::default() => Condition::Version(object.version),
--- a/crates/runtime/src/error.rs
+++ b/crates/runtime/src/error.rs
@@ -3,7 +3,7 @@
 
 use thiserror::Error;
 
-/// A fault that ends a process.
+/// An error that ends the process.
 #[derive(Debug, Error)]
 pub enum RuntimeError {
     /// A socket cannot be opened.
@@ -11,7 +11,7 @@
     Listen {
         /// Address from the settings.
         address: SocketAddrV4,
-        /// What the system reports.
+        /// Error from the operating system.
         source: io::Error,
     },
     /// A thread cannot be started.
--- a/crates/runtime/src/metric.rs
+++ b/crates/runtime/src/metric.rs
@@ -48,7 +48,7 @@
 pub(crate) const FLOWS: Metric = gauge(AGENT, "flows", "flows");
 pub(crate) const RECORDS: Metric = gauge(AGENT, "records", "records");
 
-/// All metrics, in the order of the page.
+/// All metrics, in the order of `docs/metrics.md`.
 ///
 /// The agent's counters with a dot in their name are the counters of the decision crates.
 pub const METRICS: &[Metric] = &[
@@ -131,11 +131,11 @@
 }
 
 impl Metric {
-    /// Name of a decision crate's counter, for example `flows.hop_limit` for `HopLimit`.
+    /// Metric name of a decision crate's counter, for example `flows.hop_limit` for `HopLimit`.
     pub(crate) fn counter_name(part: &str, counter: &str) -> String {
         let mut name = part.to_owned();
-        for (place, letter) in counter.char_indices() {
-            if place == 0 {
+        for (index, letter) in counter.char_indices() {
+            if index == 0 {
                 name.push('.');
             } else if letter.is_ascii_uppercase() {
                 name.push('_');
@@ -145,7 +145,7 @@
         name
     }
 
-    /// The agent's counter of a name.
+    /// The agent's metric with this name.
     pub(crate) fn agent_counter(name: &str) -> Option<&'static Self> {
         let mut agent = METRICS.iter().filter(|metric| metric.role == AGENT);
         agent.find(|metric| metric.name == name)
--- a/crates/runtime/src/metrics.rs
+++ b/crates/runtime/src/metrics.rs
@@ -24,7 +24,7 @@
             .set_nonblocking(true)
             .map_err(|error| fault(&error))?;
         let sink = UdpMetricSink::from(address, socket).map_err(|error| fault(&error))?;
-        // The queue keeps metrics off the traffic threads' path.
+        // The queue sends from a thread of its own, so that traffic threads never wait for it.
         Ok(Self(
             StatsdClient::from_sink(prefix, QueuingMetricSink::from(sink)).into(),
         ))
--- a/crates/runtime/src/settings.rs
+++ b/crates/runtime/src/settings.rs
@@ -11,7 +11,7 @@
     pub store: SocketAddrV4,
     /// TCP address of the administration RPC.
     pub admin: SocketAddrV4,
-    /// Administration RPC of other processes, asked when the store is down at start.
+    /// Administration RPC of other processes, asked at start because the store may be down.
     pub peers: Vec<SocketAddrV4>,
     /// UDP address of a statsd server.
     pub statsd: Option<SocketAddrV4>,
@@ -30,7 +30,7 @@
     pub control: SocketAddrV4,
     /// Number of traffic threads.
     pub threads: usize,
-    /// Flows that the hint table holds at most.
+    /// Capacity of the hint table, in flows.
     pub hints: usize,
 }
 
@@ -45,10 +45,10 @@
     pub service: ServiceName,
     /// UDP address for all datagrams.
     pub listen: SocketAddrV4,
-    /// UDP address of the fabric for answers.
+    /// UDP address of the fabric, to which answers are sent.
     pub fabric: SocketAddrV4,
     /// TCP address of the backend server.
     pub backend: SocketAddrV4,
-    /// Requests that the backend server runs at the same time.
+    /// Number of requests that the backend server runs concurrently.
     pub slots: Slots,
 }
--- a/crates/runtime/src/socket.rs
+++ b/crates/runtime/src/socket.rs
@@ -6,11 +6,11 @@
 
 use crate::{RuntimeError, event};
 
-// Room for some hundred milliseconds of packets while a thread is not scheduled.
+// Holds some hundred milliseconds of packets while the receiving thread is not scheduled.
 const BUFFER_BYTES: usize = 8 << 20;
 
-/// Largest UDP payload.
-pub(crate) const MAX_DATAGRAM: usize = 65_536;
+/// Size of a receive buffer that fits every UDP datagram.
+pub(crate) const MAX_DATAGRAM_BYTES: usize = 65_536;
 
 /// Opens a UDP socket with large buffers.
 pub(crate) fn bind(address: SocketAddrV4) -> Result<UdpSocket, RuntimeError> {
@@ -23,7 +23,7 @@
     open().map_err(|source| RuntimeError::Listen { address, source })
 }
 
-/// Sends a message; losses are left to the timers of the protocol.
+/// Sends a message; the protocol's timers recover from losses.
 pub(crate) fn send(socket: &UdpSocket, to: SocketAddrV4, message: &Message) {
     let sent = encode_message(message).map(|bytes| socket.send_to(&bytes, to));
     if !matches!(sent, Ok(Ok(_))) {
--- a/crates/runtime/tests/pages.rs
+++ b/crates/runtime/tests/pages.rs
@@ -1,4 +1,4 @@
-//! `docs/errors.md`, `docs/events.md` and `docs/metrics.md` against the code.
+//! Checks that the pages under `docs` list the errors, events and metrics of the code.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
@@ -16,7 +16,7 @@
     fs::read_to_string(root().join("docs").join(name)).unwrap()
 }
 
-// Cells of all rows of a page's tables, without headings.
+// The cells of each table row of a page, without the heading rows.
 fn rows(page: &str) -> Vec<Vec<String>> {
     let lines = page.lines().filter(|line| line.starts_with("| "));
     let cells = lines.map(|line| line.trim_matches(['|', ' ']).split(" | "));
@@ -41,12 +41,12 @@
     usher_runtime::EVENTS.iter().chain(usher_node::EVENTS)
 }
 
-// All source files of the crates and of the adapter, without their tests.
+// Texts of all source files of the crates and of the platform adapter, without their tests.
 fn code() -> Vec<String> {
     let mut found = Vec::new();
     sources(&root().join("platform/src"), &mut found);
-    for krate in fs::read_dir(root().join("crates")).unwrap() {
-        sources(&krate.unwrap().path().join("src"), &mut found);
+    for package in fs::read_dir(root().join("crates")).unwrap() {
+        sources(&package.unwrap().path().join("src"), &mut found);
     }
     found
 }
@@ -60,7 +60,7 @@
         .then_some(digits)
 }
 
-// First line of a string literal, with `…` for values.
+// First line of a string literal, with `…` for each value.
 fn text(literal: &str) -> String {
     let mut text = String::new();
     let mut letters = literal.chars().peekable();
@@ -122,7 +122,7 @@
         .iter()
         .map(|row| (number(&row[0]).unwrap().to_owned(), row[1].clone()))
         .collect();
-    assert_eq!(listed.len(), rows.len(), "a row stands twice");
+    assert_eq!(listed.len(), rows.len(), "a row is listed twice");
     let missing: Vec<_> = errors.difference(&listed).collect();
     let outdated: Vec<_> = listed.difference(&errors).collect();
     assert!(
@@ -221,9 +221,9 @@
             .filter(|line| line.ends_with(','))
         {
             let variant = line.trim_end_matches(',').char_indices();
-            let letters = variant.flat_map(|(place, letter)| {
-                let gap = (place > 0 && letter.is_uppercase()).then_some('_');
-                gap.into_iter().chain(letter.to_lowercase())
+            let letters = variant.flat_map(|(index, letter)| {
+                let separator = (index > 0 && letter.is_uppercase()).then_some('_');
+                separator.into_iter().chain(letter.to_lowercase())
             });
             counters.insert(format!("{part}.{}", letters.collect::<String>()), part);
         }
@@ -237,8 +237,8 @@
     assert_eq!(dotted, counters.keys().map(String::as_str).collect());
 }
 
-/// Guards against a warning that leaves operators without a word on what to do, and against alarms
-/// under an outdated text.
+/// Guards against a warning without instructions for operators, and against an alarm that is listed
+/// with an outdated text.
 #[test]
 fn operating_page_lists_every_alarm() {
     let page = page("OPERATIONS.md");
