--- a/crates/members/src/action.rs
+++ b/crates/members/src/action.rs
@@ -4,12 +4,12 @@
 
 use crate::{FleetProposal, Proposal};
 
-/// What the caller of [`crate::Membership`] is to do.
+/// What the code that drives [`crate::Membership`] is to do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Send a heartbeat to each address.
     Beat {
-        /// Receivers.
+        /// Addresses of the receivers.
         to: Vec<SocketAddrV4>,
         /// The heartbeat.
         beat: Beat,
@@ -28,15 +28,15 @@
         /// All suspected hosts, in roster order.
         hosts: Vec<HostId>,
     },
-    /// Whether this process distrusts its view of a service changed.
+    /// Whether this process trusts its own view of a service changed.
     Distrusted {
         /// The service.
         service: ServiceName,
-        /// More than half of its members look dead.
+        /// True while more than half of the members look dead.
         distrusted: bool,
     },
-    /// Write a roster change to the store, on condition of its base version.
+    /// Write a roster change to the store, if it still holds the base version.
     Propose(Proposal),
-    /// Write a fleet without its silent balancers to the store, on condition of its base version.
+    /// Write a fleet without its silent balancers to the store, if it still holds the base version.
     ProposeFleet(FleetProposal),
 }
--- a/crates/members/src/balancers.rs
+++ b/crates/members/src/balancers.rs
@@ -7,20 +7,20 @@
 
 use crate::Identity;
 
-/// Balancers that hear a host.
-const PER_HOST: usize = 3;
-/// Balancers that a balancer sends heartbeats to, which bounds its control traffic.
-const PER_BALANCER: usize = 16;
+/// Balancers that receive the heartbeats of one host.
+const HOST_RECEIVERS: usize = 3;
+/// Balancers that receive the heartbeats of one balancer; bounds its control traffic.
+const BALANCER_RECEIVERS: usize = 16;
 
-/// The known fleets and who sends heartbeats to which balancer.
+/// The known fleets, and which balancers receive the heartbeats of a host or balancer.
 #[derive(Debug, Default)]
 pub(crate) struct Balancers {
     fleets: IndexMap<DataCentre, Arc<Fleet>>,
-    ranked: IndexMap<DataCentre, Vec<HostId>>,
+    candidates: IndexMap<DataCentre, Vec<HostId>>,
 }
 
 impl Balancers {
-    /// Adopts a fleet; false if a newer version is known.
+    /// Stores a fleet; false if a newer version is known.
     pub(crate) fn adopt(&mut self, centre: &DataCentre, fleet: Arc<Fleet>) -> bool {
         let known = self.fleets.get(centre);
         if known.is_some_and(|known| known.version > fleet.version) {
@@ -29,14 +29,14 @@
         // Instances and hosts follow the same naming rule, so every instance name parses.
         let names = fleet.balancers.keys().map(InstanceId::as_str);
         let names = names.filter_map(|name| name.parse().ok()).collect();
-        self.ranked.insert(centre.clone(), names);
+        self.candidates.insert(centre.clone(), names);
         self.fleets.insert(centre.clone(), fleet);
         true
     }
 
-    /// Addresses of the balancers that hear a host.
-    pub(crate) fn of_host(&self, centre: &DataCentre, host: &HostId) -> Vec<SocketAddrV4> {
-        let chosen = self.chosen(centre, host.as_str(), PER_HOST);
+    /// Addresses of the balancers that receive the heartbeats of a host.
+    pub(crate) fn host_receivers(&self, centre: &DataCentre, host: &HostId) -> Vec<SocketAddrV4> {
+        let chosen = self.chosen(centre, host.as_str(), HOST_RECEIVERS);
         chosen
             .into_iter()
             .filter_map(|name| self.address(centre, name))
@@ -44,7 +44,7 @@
     }
 
     /// Whether a process receives a host's heartbeats directly.
-    pub(crate) fn hears(&self, by: &Identity, centre: &DataCentre, host: &HostId) -> bool {
+    pub(crate) fn receives(&self, by: &Identity, centre: &DataCentre, host: &HostId) -> bool {
         match by {
             Identity::Agent { .. } => true,
             Identity::Balancer {
@@ -56,18 +56,18 @@
     }
 
     fn is_chosen(&self, centre: &DataCentre, instance: &InstanceId, host: &HostId) -> bool {
-        let chosen = self.chosen(centre, host.as_str(), PER_HOST);
+        let chosen = self.chosen(centre, host.as_str(), HOST_RECEIVERS);
         chosen.iter().any(|name| name.as_str() == instance.as_str())
     }
 
     /// The balancers of its data centre that a balancer sends heartbeats to, in rendezvous order.
-    pub(crate) fn hearers(&self, centre: &DataCentre, instance: &InstanceId) -> Vec<InstanceId> {
-        let names = self.chosen(centre, instance.as_str(), PER_BALANCER + 1);
+    pub(crate) fn receivers(&self, centre: &DataCentre, instance: &InstanceId) -> Vec<InstanceId> {
+        let names = self.chosen(centre, instance.as_str(), BALANCER_RECEIVERS + 1);
         let others = names
             .into_iter()
             .filter(|name| name.as_str() != instance.as_str());
         others
-            .take(PER_BALANCER)
+            .take(BALANCER_RECEIVERS)
             .filter_map(|name| name.as_str().parse().ok())
             .collect()
     }
@@ -79,7 +79,7 @@
     }
 
     fn chosen(&self, centre: &DataCentre, key: &str, count: usize) -> Vec<&HostId> {
-        let names = self.ranked.get(centre).map_or(&[][..], Vec::as_slice);
+        let names = self.candidates.get(centre).map_or(&[][..], Vec::as_slice);
         let members = names.iter().map(|name| (name, Weight::NOMINAL));
         let mut order = rank(key_of(key), members);
         order.truncate(count);
--- a/crates/members/src/change.rs
+++ b/crates/members/src/change.rs
@@ -10,25 +10,25 @@
         /// Its entry.
         member: Member,
     },
-    /// A host leaves by itself.
+    /// A host removes itself from the roster.
     Leave {
         /// The host.
         host: HostId,
-        /// The process that leaves; a later one stays.
+        /// Incarnation that leaves; a later one stays.
         incarnation: Incarnation,
     },
-    /// A host changes what it is ready to do.
+    /// A host changes its state, for example to draining.
     SetState {
         /// The host.
         host: HostId,
-        /// The process that changes; a later one is unaffected.
+        /// Incarnation that changes; a later one is unaffected.
         incarnation: Incarnation,
         /// The new state.
         state: HostState,
     },
-    /// Hosts that other members no longer hear are removed.
+    /// Removes hosts whose heartbeats other members no longer receive.
     Remove {
-        /// The hosts and the processes that were suspected; later ones stay.
+        /// The hosts and their suspected incarnations; later incarnations stay.
         hosts: Vec<(HostId, Incarnation)>,
     },
 }
--- a/crates/members/src/event.rs
+++ b/crates/members/src/event.rs
@@ -5,7 +5,7 @@
 
 use crate::Status;
 
-/// What [`crate::Membership`] reacts to.
+/// Input of [`crate::Membership::handle`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// The timer of `next_timer` is due.
--- a/crates/members/src/fleet_proposal.rs
+++ b/crates/members/src/fleet_proposal.rs
@@ -1,6 +1,6 @@
 use usher_types::{DataCentre, Fleet, Incarnation, InstanceId, Version};
 
-/// Silent balancers to remove from a fleet, and the version that this is based on.
+/// Silent balancers to remove from a fleet, and the fleet version to change.
 ///
 /// ```
 /// use usher_members::FleetProposal;
@@ -16,7 +16,7 @@
     pub centre: DataCentre,
     /// Version that the store must still hold.
     pub base: Version,
-    /// The balancers and the processes that were suspected; later ones stay.
+    /// The balancers and their suspected incarnations; later incarnations stay.
     pub balancers: Vec<(InstanceId, Incarnation)>,
 }
 
--- a/crates/members/src/fleet_watch.rs
+++ b/crates/members/src/fleet_watch.rs
@@ -8,7 +8,7 @@
 use crate::watch::{REMOVAL, REMOVAL_RETRY};
 use crate::{FleetProposal, Identity};
 
-/// The other balancers of a balancer's data centre as it sees them.
+/// Liveness of the other balancers of a balancer's data centre.
 #[derive(Debug, Default)]
 pub(crate) struct FleetWatch {
     fleet: Arc<Fleet>,
@@ -18,7 +18,7 @@
 }
 
 impl FleetWatch {
-    /// Adopts a fleet and decides which balancers this one hears directly.
+    /// Adopts a fleet and decides which balancers send their heartbeats to this one.
     pub(crate) fn adopt(
         &mut self,
         now: Time,
@@ -31,22 +31,22 @@
         self.liveness
             .retain(|name, _| fleet.balancers.contains_key(name));
         for (name, entry) in fleet.balancers.iter().filter(|(name, _)| *name != own) {
-            let hearers = balancers.hearers(centre, name);
-            let observed = hearers.iter().any(|hearer| hearer == own);
+            let receivers = balancers.receivers(centre, name);
+            let direct = receivers.iter().any(|receiver| receiver == own);
             let liveness = self
                 .liveness
                 .entry(name.clone())
-                .or_insert_with(|| Liveness::new(now, observed));
-            liveness.observe(now, observed);
+                .or_insert_with(|| Liveness::new(now, direct));
+            liveness.set_direct(now, direct);
             let known = earlier.balancers.get(name);
             if known.is_some_and(|known| known.incarnation < entry.incarnation) {
-                liveness.renew(now);
+                liveness.on_restart(now);
             }
         }
         self.next_removal = now;
     }
 
-    /// Counts a heartbeat and the balancers that its sender no longer hears.
+    /// Records a heartbeat and the balancers that its sender reports as silent.
     pub(crate) fn on_beat(&mut self, now: Time, from: &InstanceId, beat: &Beat) {
         let listed = self.fleet.balancers.get(from);
         if listed.is_none_or(|listed| listed.incarnation > beat.incarnation) {
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Treats all balancers as heard now; used after this process was paused.
-    pub(crate) fn excuse(&mut self, now: Time) {
+    /// Restarts the silence timeout of all balancers; used after this process was paused.
+    pub(crate) fn reset_silence(&mut self, now: Time) {
         for liveness in self.liveness.values_mut() {
             liveness.alive_at(now);
         }
@@ -85,14 +85,14 @@
             .filter(|liveness| liveness.looks_dead(now))
             .count();
         self.distrusted = dead * 2 > self.fleet.balancers.len();
-        // Of two balancers only one is left to report.
+        // In a fleet of two balancers only this one can report the other.
         let reporters = REPORTERS.min(self.liveness.len());
         for liveness in self.liveness.values_mut() {
             liveness.update(now, !self.distrusted, reporters);
         }
     }
 
-    /// Balancers that this one reports as silent; a distrusted view reports nothing new.
+    /// Balancers that this one reports as silent; a distrusted view adds no new ones.
     pub(crate) fn silent(&self, now: Time) -> impl Iterator<Item = &InstanceId> {
         let reported = move |liveness: &Liveness| {
             liveness.is_silent(now) && (!self.distrusted || liveness.is_suspected())
@@ -120,8 +120,8 @@
             .iter()
             .filter_map(|(name, liveness)| Some((name, liveness.suspected_since()?)))
             .filter(|(name, since)| {
-                let turn = self.turn(instance, &balancers.hearers(centre, name));
-                turn.is_some_and(|turn| now.since(*since) >= REMOVAL + REMOVAL_RETRY * turn)
+                let rank = self.rank(instance, &balancers.receivers(centre, name));
+                rank.is_some_and(|rank| now.since(*since) >= REMOVAL + REMOVAL_RETRY * rank)
             })
             .filter_map(|(name, _)| {
                 Some((name.clone(), self.fleet.balancers.get(name)?.incarnation))
@@ -138,23 +138,23 @@
         })
     }
 
-    /// Place of this balancer among the live ones that hear a silent one.
+    /// Rank of this balancer among the live receivers of a silent one's heartbeats.
     ///
-    /// Each later one waits longer, in case the first cannot reach the store.
-    fn turn(&self, own: &InstanceId, hearers: &[InstanceId]) -> Option<u64> {
+    /// A higher rank waits longer before it proposes, in case the first cannot reach the store.
+    fn rank(&self, own: &InstanceId, receivers: &[InstanceId]) -> Option<u64> {
         let is_live = |name: &&InstanceId| {
             let liveness = self.liveness.get(*name);
             liveness.is_none_or(|liveness| !liveness.is_suspected())
         };
-        let place = hearers
+        let preceding = receivers
             .iter()
             .filter(is_live)
             .position(|name| name == own)?;
-        Some(place as u64)
+        Some(preceding as u64)
     }
 }
 
-/// The instance and data centre of a balancer.
+/// Instance and data centre of a balancer; `None` for an agent.
 pub(crate) fn balancer(identity: &Identity) -> Option<(&InstanceId, &DataCentre)> {
     match identity {
         Identity::Balancer {
--- a/crates/members/src/heartbeats.rs
+++ b/crates/members/src/heartbeats.rs
@@ -6,9 +6,9 @@
 use crate::watch::Watch;
 use crate::{Action, Identity, Membership};
 
-/// Reported hosts and balancers per heartbeat, which bounds its size.
+/// Hosts and balancers that one heartbeat can report as silent; bounds its size.
 const MAX_SUSPECTS: usize = 32;
-/// Members of a service that a balancer tells of a silent one.
+/// Members of a service that a balancer notifies of a silent one.
 const MAX_NOTIFIED: usize = 16;
 
 impl Membership {
@@ -20,7 +20,7 @@
                 };
                 let others = watch.roster().members.iter();
                 let others = others.filter(|(other, _)| *other != host);
-                let mut to = self.balancers.of_host(centre, host);
+                let mut to = self.balancers.host_receivers(centre, host);
                 to.extend(others.map(|(_, member)| member.agent));
                 self.beat(now, to, hosts(watch.silent(now)))
                     .into_iter()
@@ -48,23 +48,28 @@
     /// Repeats the heartbeat for a member that has only now adopted the same roster.
     ///
     /// It could not acknowledge the one that followed this process's own adoption.
-    pub(crate) fn align(&mut self, now: Time, source: SocketAddrV4, beat: &Beat) -> Option<Action> {
+    pub(crate) fn resend_beat(
+        &mut self,
+        now: Time,
+        source: SocketAddrV4,
+        beat: &Beat,
+    ) -> Option<Action> {
         let Peer::Host(host) = &beat.from else {
             return None;
         };
         let watch = self.own_watch().filter(|_| self.own.life().beats())?;
-        if beat.roster != watch.roster().version || self.aligned.contains(host) {
+        if beat.roster != watch.roster().version || self.synced.contains(host) {
             return None;
         }
         let repeated = self.beat(now, vec![source], hosts(watch.silent(now)));
-        self.aligned.insert(host.clone());
+        self.synced.insert(host.clone());
         repeated
     }
 
-    /// A member acknowledges no heartbeat of an older roster, so that it renews no old lease.
+    /// Acknowledges a heartbeat, unless that would renew a lease of an older roster.
     ///
-    /// A process that its roster does not list acknowledges none of its service: an earlier process
-    /// on the same host may have adopted a newer roster and stopped.
+    /// A process that is not listed in its roster acknowledges no heartbeat of its service: an
+    /// earlier process on the same host may have adopted a newer roster and stopped.
     pub(crate) fn acknowledge(
         &self,
         beat: &Beat,
@@ -81,21 +86,21 @@
         })
     }
 
-    /// Balancers of the own data centre that hear this one, or hear one that has fallen silent.
+    /// Balancers of this data centre that receive heartbeats of this one or of a silent one.
     ///
-    /// The latter gives a silent balancer a second reporter where not all hear all.
+    /// The second group thereby gets a second report where not all receive all heartbeats.
     fn fleet_targets(&self, now: Time, own: &InstanceId, centre: &DataCentre) -> Vec<SocketAddrV4> {
         let silent = self.fleet.silent(now);
-        let witnesses = silent.flat_map(|name| self.balancers.hearers(centre, name));
-        let names = self.balancers.hearers(centre, own).into_iter();
-        let names: IndexSet<InstanceId> = names.chain(witnesses).collect();
+        let reporters = silent.flat_map(|name| self.balancers.receivers(centre, name));
+        let names = self.balancers.receivers(centre, own).into_iter();
+        let names: IndexSet<InstanceId> = names.chain(reporters).collect();
         let others = names.iter().filter(|name| *name != own);
         others
             .filter_map(|name| self.balancers.control(centre, name))
             .collect()
     }
 
-    /// A balancer's report to live members, which in small services lack a second reporter.
+    /// Reports silent members to live ones, which in small services lack a second reporter.
     fn notify_members(&self, now: Time, watch: &Watch) -> Option<Action> {
         watch.silent(now).next()?;
         let members = &watch.roster().members;
--- a/crates/members/src/host.rs
+++ b/crates/members/src/host.rs
@@ -16,7 +16,7 @@
 
 /// This process's own host in one state of its life cycle.
 ///
-/// A transition consumes the value, and one that the state does not have does not compile.
+/// A transition consumes the value; a transition that is invalid in a state does not compile.
 ///
 /// ```
 /// use usher_members::{Change, Host};
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The change that lists the host.
+    /// The change that adds the host to the roster.
     pub fn join(&self) -> Change {
         Change::Join {
             host: self.id.clone(),
@@ -104,7 +104,7 @@
 }
 
 impl Host<Draining> {
-    /// The change that tells the other members; `None` if the roster has it.
+    /// The change that tells the other members; `None` if the roster already shows it.
     pub fn set_draining(&self, roster: &Roster) -> Option<Change> {
         let listed = roster.members.get(&self.id)?;
         let pending = listed.state != HostState::Draining && self.is_listed(roster);
--- a/crates/members/src/host_life.rs
+++ b/crates/members/src/host_life.rs
@@ -14,12 +14,12 @@
     Serving(Host<Serving>),
     /// Takes no new work.
     Draining(Host<Draining>),
-    /// Leaves with this change.
+    /// Leaves the roster by this change.
     Left(Change),
 }
 
 impl HostLife {
-    /// The host is ready to join; a host that already is in the cycle stays as it is.
+    /// The host is ready to join; a host that already announced itself is unchanged.
     pub(crate) fn join(self, id: HostId, member: Member) -> Self {
         match self {
             Self::Unknown => Self::Announced(Host::announce(id, member)),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Follows the roster.
+    /// Moves to the state that the roster shows.
     pub(crate) fn adopt(self, roster: &Roster) -> Self {
         match self {
             Self::Announced(host) if host.is_listed(roster) => Self::Serving(host.serve()),
--- a/crates/members/src/identity.rs
+++ b/crates/members/src/identity.rs
@@ -9,18 +9,18 @@
         host: HostId,
         /// Service of the host.
         service: ServiceName,
-        /// Where the host stands.
+        /// Data centre of the host.
         centre: DataCentre,
-        /// This process among those on the host.
+        /// Tells successive processes on the host apart.
         incarnation: Incarnation,
     },
     /// A balancer.
     Balancer {
         /// Its instance.
         instance: InstanceId,
-        /// Where the instance stands.
+        /// Data centre of the instance.
         centre: DataCentre,
-        /// This process among those on the instance.
+        /// Tells successive processes on the instance apart.
         incarnation: Incarnation,
     },
 }
--- a/crates/members/src/liveness.rs
+++ b/crates/members/src/liveness.rs
@@ -4,69 +4,71 @@
 pub(crate) const SILENCE: Span = Span::from_secs(3);
 /// Processes that must agree before a member is suspected.
 pub(crate) const REPORTERS: usize = 2;
-/// Shortest and longest time that a returning member must stay alive.
-const HOLD_MIN: Span = Span::from_secs(1);
-const HOLD_MAX: Span = Span::from_secs(60);
-/// A return within this time after the previous one was complete counts as flapping.
+/// Shortest time that a returning member must stay alive; doubled while it flaps.
+const PROBATION_MIN: Span = Span::from_secs(1);
+/// Longest time that a returning member must stay alive.
+const PROBATION_MAX: Span = Span::from_secs(60);
+/// A return within this time after the end of the previous probation counts as flapping.
 const FLAP_WINDOW: Span = Span::from_secs(60);
 
-/// What this process knows about the life of one member.
+/// Heartbeats, reports and suspicion of one member.
 #[derive(Debug)]
 pub(crate) struct Liveness {
-    observed: bool,
-    heard: Time,
-    latest: (Incarnation, Time),
+    /// Whether the member sends its heartbeats to this process.
+    direct: bool,
+    last_alive: Time,
+    latest_beat: (Incarnation, Time),
     reports: Vec<(Peer, Time)>,
-    standing: Standing,
-    hold: Span,
-    returned: Option<Time>,
+    health: Health,
+    probation: Span,
+    probation_end: Option<Time>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
+enum Health {
     Live,
     Suspected { since: Time },
     Returning { until: Time },
 }
 
 impl Liveness {
-    /// A member that was just listed; it counts as heard now.
-    pub(crate) fn new(now: Time, observed: bool) -> Self {
+    /// A member that was just listed; its silence is counted from now.
+    pub(crate) fn new(now: Time, direct: bool) -> Self {
         Self {
-            observed,
-            heard: now,
-            latest: Default::default(),
+            direct,
+            last_alive: now,
+            latest_beat: Default::default(),
             reports: Vec::new(),
-            standing: Standing::Live,
-            hold: HOLD_MIN,
-            returned: None,
+            health: Health::Live,
+            probation: PROBATION_MIN,
+            probation_end: None,
         }
     }
 
-    pub(crate) fn observe(&mut self, now: Time, observed: bool) {
-        if observed && !self.observed {
-            self.heard = now;
+    pub(crate) fn set_direct(&mut self, now: Time, direct: bool) {
+        if direct && !self.direct {
+            self.last_alive = now;
         }
-        self.observed = observed;
+        self.direct = direct;
     }
 
-    /// Counts a heartbeat; false if a later one was counted before.
+    /// Records a heartbeat; false if a later one was already recorded.
     pub(crate) fn on_beat(&mut self, now: Time, beat: &Beat) -> bool {
         let order = (beat.incarnation, beat.sent);
-        let fresh = order > self.latest || self.latest == Default::default();
+        let fresh = order > self.latest_beat || self.latest_beat == Default::default();
         if fresh {
-            self.latest = order;
-            self.heard = now;
+            self.latest_beat = order;
+            self.last_alive = now;
         }
         fresh
     }
 
-    /// The member was alive at a time on this process's clock.
+    /// Records that the member was alive at a time on this process's clock.
     pub(crate) fn alive_at(&mut self, time: Time) {
-        self.heard = self.heard.max(time);
+        self.last_alive = self.last_alive.max(time);
     }
 
-    /// Another process no longer hears the member.
+    /// Records that another process reports the member as silent.
     pub(crate) fn on_report(&mut self, now: Time, from: &Peer) {
         match self.reports.iter_mut().find(|(peer, _)| peer == from) {
             Some((_, time)) => *time = now,
@@ -74,34 +76,34 @@
         }
     }
 
-    /// A new process of the member's host was listed.
-    pub(crate) fn renew(&mut self, now: Time) {
-        self.heard = now;
+    /// Resets silence and reports after a new process of the member was listed.
+    pub(crate) fn on_restart(&mut self, now: Time) {
+        self.last_alive = now;
         self.reports.clear();
-        if matches!(self.standing, Standing::Suspected { .. }) {
-            self.standing = self.returning(now);
+        if matches!(self.health, Health::Suspected { .. }) {
+            self.health = self.returning(now);
         }
     }
 
     pub(crate) fn is_silent(&self, now: Time) -> bool {
-        self.observed && now.since(self.heard) >= SILENCE
+        self.direct && now.since(self.last_alive) >= SILENCE
     }
 
     /// Whether the member looks dead to this process, alone or by the reports of others.
     pub(crate) fn looks_dead(&self, now: Time) -> bool {
-        self.is_silent(now) || (!self.observed && self.fresh_reports(now) >= REPORTERS)
+        self.is_silent(now) || (!self.direct && self.fresh_reports(now) >= REPORTERS)
     }
 
     /// Whether new flows avoid the member.
     pub(crate) fn is_suspected(&self) -> bool {
-        self.standing != Standing::Live
+        self.health != Health::Live
     }
 
     /// Time since which the member has been suspected without a sign of life.
     pub(crate) fn suspected_since(&self) -> Option<Time> {
-        match self.standing {
-            Standing::Suspected { since } => Some(since),
-            Standing::Live | Standing::Returning { .. } => None,
+        match self.health {
+            Health::Suspected { since } => Some(since),
+            Health::Live | Health::Returning { .. } => None,
         }
     }
 
@@ -112,27 +114,27 @@
         self.reports.retain(|(_, time)| now.since(*time) < SILENCE);
         let dead = self.looks_dead(now);
         let agreed = usize::from(self.is_silent(now)) + self.reports.len() >= reporters;
-        self.standing = match self.standing {
-            Standing::Live if dead && agreed && trusted => Standing::Suspected { since: now },
-            Standing::Returning { .. } if dead => Standing::Suspected { since: now },
-            Standing::Suspected { .. } if !dead => self.returning(now),
-            Standing::Returning { until } if now >= until => Standing::Live,
-            standing => standing,
+        self.health = match self.health {
+            Health::Live if dead && agreed && trusted => Health::Suspected { since: now },
+            Health::Returning { .. } if dead => Health::Suspected { since: now },
+            Health::Suspected { .. } if !dead => self.returning(now),
+            Health::Returning { until } if now >= until => Health::Live,
+            health => health,
         };
     }
 
-    fn returning(&mut self, now: Time) -> Standing {
+    fn returning(&mut self, now: Time) -> Health {
         let flaps = self
-            .returned
-            .is_some_and(|returned| now.since(returned) < FLAP_WINDOW);
-        self.hold = if flaps {
-            (self.hold * 2).min(HOLD_MAX)
+            .probation_end
+            .is_some_and(|probation_end| now.since(probation_end) < FLAP_WINDOW);
+        self.probation = if flaps {
+            (self.probation * 2).min(PROBATION_MAX)
         } else {
-            HOLD_MIN
+            PROBATION_MIN
         };
-        let until = now + self.hold;
-        self.returned = Some(until);
-        Standing::Returning { until }
+        let until = now + self.probation;
+        self.probation_end = Some(until);
+        Health::Returning { until }
     }
 
     fn fresh_reports(&self, now: Time) -> usize {
--- a/crates/members/src/membership.rs
+++ b/crates/members/src/membership.rs
@@ -45,16 +45,16 @@
     pub(crate) balancers: Balancers,
     pub(crate) services: Services,
     pub(crate) fleet: FleetWatch,
-    ticked: Option<Time>,
+    last_tick: Option<Time>,
     next_beat: Time,
-    // Members that are known to have the current roster of the own service.
-    pub(crate) aligned: HashSet<HostId>,
+    // Members of this process's service that are known to have its current roster.
+    pub(crate) synced: HashSet<HostId>,
 }
 
 impl Membership {
-    /// A process that knows no roster yet; the store counts as up.
+    /// Creates a membership without rosters; the store counts as up.
     ///
-    /// `random` spreads proposals; a seeded generator makes a run repeatable.
+    /// `random` delays proposals, to spread them; a seeded generator makes a run repeatable.
     pub fn new(identity: Identity, random: Box<dyn RngCore + Send>) -> Self {
         Self {
             identity,
@@ -65,9 +65,9 @@
             balancers: Balancers::default(),
             services: Services::default(),
             fleet: FleetWatch::default(),
-            ticked: None,
+            last_tick: None,
             next_beat: Time::ZERO,
-            aligned: HashSet::new(),
+            synced: HashSet::new(),
         }
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// Moves this process's own host to the state that its roster shows.
-    fn follow(&mut self, now: Time) {
+    fn follow_roster(&mut self, now: Time) {
         let roster = self.own_watch().map(|watch| Arc::clone(watch.roster()));
         self.own
             .advance(now, roster.as_deref(), |life| match &roster {
@@ -149,9 +149,9 @@
         let observer = (&self.identity, &self.balancers);
         let adopted = self.services.adopt(now, service, roster, observer);
         if adopted && is_own {
-            self.follow(now);
+            self.follow_roster(now);
             // A lease holds for one roster version, so a new one is renewed without delay.
-            self.aligned.clear();
+            self.synced.clear();
             self.next_beat = now;
         }
     }
@@ -188,7 +188,7 @@
         let ack = self.acknowledge(beat, service.as_ref());
         let ack = ack.map(|ack| Action::Ack { to: source, ack });
         ack.into_iter()
-            .chain(self.align(now, source, beat))
+            .chain(self.resend_beat(now, source, beat))
             .collect()
     }
 
@@ -198,13 +198,15 @@
             return actions;
         }
         self.next_beat = now + BEAT;
-        let paused = self.ticked.is_some_and(|last| now.since(last) >= SILENCE);
-        self.ticked = Some(now);
+        let paused = self
+            .last_tick
+            .is_some_and(|last| now.since(last) >= SILENCE);
+        self.last_tick = Some(now);
         if paused {
             self.services
                 .iter_mut()
-                .for_each(|(_, watch)| watch.excuse(now));
-            self.fleet.excuse(now);
+                .for_each(|(_, watch)| watch.reset_silence(now));
+            self.fleet.reset_silence(now);
         }
         for (service, watch) in self.services.iter_mut() {
             actions.extend(evaluate(now, service, watch));
@@ -252,7 +254,7 @@
     }
 }
 
-/// Re-evaluates a service and names what changed.
+/// Re-evaluates a service and returns an action for each change.
 fn evaluate(now: Time, service: &ServiceName, watch: &mut Watch) -> Vec<Action> {
     let (suspicion, trust) = watch.update(now);
     let suspected = suspicion.then(|| Action::Suspected {
--- a/crates/members/src/own_host.rs
+++ b/crates/members/src/own_host.rs
@@ -5,12 +5,12 @@
 
 use crate::{Change, HostLife};
 
-/// Random delay of a proposal, so that many starts at once spread their writes.
+/// Random delay of a proposal, so that hosts that start at once spread their writes.
 const JITTER: Span = Span::from_secs(1);
 /// Time after which a proposal is repeated if no roster confirms it.
 const RETRY: Span = Span::from_secs(3);
 
-/// This process's own host and the roster change that it still waits for.
+/// This process's own host and when it next proposes its pending roster change.
 pub(crate) struct OwnHost {
     life: HostLife,
     random: Box<dyn RngCore + Send>,
--- a/crates/members/src/proposal.rs
+++ b/crates/members/src/proposal.rs
@@ -43,7 +43,7 @@
         Some(changed)
     }
 
-    /// The roster to write with the earlier ones whose members may still act as owners.
+    /// The roster to write, with earlier rosters whose members may still act as owners.
     ///
     /// It lists the roster that it replaces and those of its earlier ones that the writer does not
     /// know as settled; `None` as `unsettled` means that the writer knows nothing of them.
--- a/crates/members/src/services.rs
+++ b/crates/members/src/services.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Services {
     watches: IndexMap<ServiceName, Watch>,
-    owners: HashMap<HostId, ServiceName>,
+    assignments: HashMap<HostId, ServiceName>,
 }
 
 impl Services {
@@ -50,9 +50,9 @@
         if known.is_some_and(|known| known.roster().version >= roster.version) {
             return false;
         }
-        self.disown(service);
+        self.unassign(service);
         for host in roster.members.keys() {
-            self.owners.insert(host.clone(), service.clone());
+            self.assignments.insert(host.clone(), service.clone());
         }
         let watch = self
             .watches
@@ -62,7 +62,7 @@
         true
     }
 
-    /// Decides again which members this process hears, after a change of balancers.
+    /// Decides again which members send heartbeats to this process, after a change of balancers.
     pub(crate) fn refresh(&mut self, now: Time, identity: &Identity, balancers: &Balancers) {
         for watch in self.watches.values_mut() {
             let roster = Arc::clone(watch.roster());
@@ -71,24 +71,24 @@
     }
 
     pub(crate) fn forget(&mut self, service: &ServiceName) {
-        self.disown(service);
+        self.unassign(service);
         self.watches.shift_remove(service);
     }
 
-    /// Counts a host's heartbeat and returns its service, unless it is unknown or stale.
+    /// Records a heartbeat and returns the host's service, unless it is unknown or stale.
     pub(crate) fn on_beat(&mut self, now: Time, host: &HostId, beat: &Beat) -> Option<ServiceName> {
-        let service = self.owners.get(host)?;
+        let service = self.assignments.get(host)?;
         let fresh = self.watches.get_mut(service)?.on_beat(now, host, beat);
         fresh.then(|| service.clone())
     }
 
-    /// Counts the hosts that a sender no longer hears; an agent speaks of its own service only.
+    /// Records the hosts that a sender reports as silent; an agent may report its own service only.
     pub(crate) fn on_reports(&mut self, now: Time, beat: &Beat, sender: Option<&ServiceName>) {
         for suspect in &beat.suspects {
             let Peer::Host(suspect) = suspect else {
                 continue;
             };
-            let Some(service) = self.owners.get(suspect) else {
+            let Some(service) = self.assignments.get(suspect) else {
                 continue;
             };
             let entitled = sender.is_none_or(|sender| sender == service);
@@ -98,23 +98,23 @@
         }
     }
 
-    /// The member was alive when this process sent the heartbeat that is acknowledged.
+    /// Records that a member was alive when the heartbeat that it acknowledges was sent.
     pub(crate) fn on_ack(&mut self, now: Time, ack: &BeatAck) {
         let Peer::Host(host) = &ack.from else { return };
-        let service = self.owners.get(host);
+        let service = self.assignments.get(host);
         if let Some(watch) = service.and_then(|service| self.watches.get_mut(service)) {
             watch.alive_at(host, ack.sent.min(now));
         }
     }
 
-    // A host may already be listed by the service that it moved to.
-    fn disown(&mut self, service: &ServiceName) {
+    // A host that moved may already be assigned to its new service; that entry stays.
+    fn unassign(&mut self, service: &ServiceName) {
         let Some(watch) = self.watches.get(service) else {
             return;
         };
         for host in watch.roster().members.keys() {
-            if self.owners.get(host) == Some(service) {
-                self.owners.remove(host);
+            if self.assignments.get(host) == Some(service) {
+                self.assignments.remove(host);
             }
         }
     }
--- a/crates/members/src/watch.rs
+++ b/crates/members/src/watch.rs
@@ -8,12 +8,12 @@
 use crate::liveness::{Liveness, REPORTERS};
 use crate::{Change, Identity};
 
-/// Suspicion after which a member is removed from the roster.
+/// Time under suspicion after which a member is removed from the roster.
 pub(crate) const REMOVAL: Span = Span::from_secs(10);
 /// Time between two proposals of the same removal.
 pub(crate) const REMOVAL_RETRY: Span = Span::from_secs(5);
 
-/// One service's members as this process sees them.
+/// Roster of one service and the liveness of its members.
 #[derive(Debug)]
 pub(crate) struct Watch {
     roster: Arc<Roster>,
@@ -36,7 +36,7 @@
         &self.roster
     }
 
-    /// Adopts a roster and decides which members this process hears directly.
+    /// Adopts a roster and decides which members send their heartbeats to this process.
     pub(crate) fn adopt(
         &mut self,
         now: Time,
@@ -52,21 +52,21 @@
             if Some(host) == identity.host() {
                 continue;
             }
-            let observed = balancers.hears(identity, &member.centre, host);
+            let direct = balancers.receives(identity, &member.centre, host);
             let liveness = self
                 .liveness
                 .entry(host.clone())
-                .or_insert_with(|| Liveness::new(now, observed));
-            liveness.observe(now, observed);
+                .or_insert_with(|| Liveness::new(now, direct));
+            liveness.set_direct(now, direct);
             let known = earlier.members.get(host);
             if known.is_some_and(|known| known.incarnation < member.incarnation) {
-                liveness.renew(now);
+                liveness.on_restart(now);
             }
         }
         self.next_removal = now;
     }
 
-    /// Counts a member's heartbeat; false if it is stale or from an earlier process.
+    /// Records a member's heartbeat; false if it is stale or from an earlier process.
     pub(crate) fn on_beat(&mut self, now: Time, host: &HostId, beat: &Beat) -> bool {
         let listed = self.roster.members.get(host);
         let current = listed.is_some_and(|member| member.incarnation <= beat.incarnation);
@@ -80,15 +80,15 @@
         }
     }
 
-    /// Counts that another process no longer hears a member.
+    /// Records that another process reports a member as silent.
     pub(crate) fn on_report(&mut self, now: Time, from: &Peer, suspect: &HostId) {
         if let Some(liveness) = self.liveness.get_mut(suspect) {
             liveness.on_report(now, from);
         }
     }
 
-    /// Treats all members as heard now; used after this process was paused.
-    pub(crate) fn excuse(&mut self, now: Time) {
+    /// Restarts the silence timeout of all members; used after this process was paused.
+    pub(crate) fn reset_silence(&mut self, now: Time) {
         for liveness in self.liveness.values_mut() {
             liveness.alive_at(now);
         }
@@ -122,7 +122,7 @@
         suspected.map(|(host, _)| host.clone()).collect()
     }
 
-    /// Members that this process reports as silent; a distrusted view reports nothing new.
+    /// Members that this process reports as silent; a distrusted view adds no new ones.
     pub(crate) fn silent(&self, now: Time) -> impl Iterator<Item = &HostId> {
         let reported = move |liveness: &Liveness| {
             liveness.is_silent(now) && (!self.distrusted || liveness.is_suspected())
--- a/crates/members/tests/faults.rs
+++ b/crates/members/tests/faults.rs
@@ -101,7 +101,7 @@
     }
 }
 
-// The agent of h0 sees the row's events; `version` varies who proposes a removal.
+// Plays the row's events to the agent of h0; the roster `version` decides who proposes a removal.
 fn run(row: &Row, version: u64) -> Trace {
     let mut agent = agent(0);
     let mut trace = Trace::default();
--- a/crates/members/tests/fleet.rs
+++ b/crates/members/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Balancers that hear each other and remove a silent one, under the faults of `data/fleet.json`.
+//! Removal of silent balancers by their peers, under the faults of `data/fleet.json`.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -28,7 +28,7 @@
     #[serde(default)]
     restarted: BTreeMap<InstanceId, u64>,
     #[serde(default)]
-    deaf: Vec<Deaf>,
+    losses: Vec<Loss>,
     store_down: Option<(u64, u64)>,
     // Balancers whose writes never reach the store.
     #[serde(default)]
@@ -37,7 +37,7 @@
 }
 
 #[derive(Deserialize)]
-struct Deaf {
+struct Loss {
     of: InstanceId,
     by: InstanceId,
     from: u64,
@@ -50,9 +50,9 @@
         dead.is_some_and(|(from, to)| (*from..*to).contains(&second))
     }
 
-    fn hears(&self, by: &InstanceId, of: &InstanceId, second: u64) -> bool {
-        let covers = |d: &Deaf| d.by == *by && d.of == *of && (d.from..d.to).contains(&second);
-        !self.is_dead(of, second) && !self.deaf.iter().any(covers)
+    fn receives(&self, by: &InstanceId, of: &InstanceId, second: u64) -> bool {
+        let covers = |d: &Loss| d.by == *by && d.of == *of && (d.from..d.to).contains(&second);
+        !self.is_dead(of, second) && !self.losses.iter().any(covers)
     }
 
     fn store_is_down(&self, second: u64) -> bool {
@@ -61,7 +61,7 @@
     }
 }
 
-struct World {
+struct Simulation {
     fleet: Fleet,
     balancers: IndexMap<InstanceId, Membership>,
     removed: BTreeMap<InstanceId, u64>,
@@ -92,19 +92,19 @@
     Membership::new(identity, Box::new(Pcg64::new(SEED, 1)))
 }
 
-impl World {
+impl Simulation {
     fn new(row: &Row, version: u64) -> Self {
         let fleet = Fleet {
             version: Version::new(version),
             balancers: (0..row.balancers).map(|i| (name(i), entry(i))).collect(),
         };
-        let mut world = Self {
+        let mut simulation = Self {
             fleet,
             balancers: (0..row.balancers).map(|i| (name(i), balancer(i))).collect(),
             removed: BTreeMap::new(),
         };
-        world.publish(0);
-        world
+        simulation.publish(0);
+        simulation
     }
 
     fn publish(&mut self, second: u64) {
@@ -141,16 +141,16 @@
                 continue;
             }
             for action in actions {
-                self.act(row, second, &name, action);
+                self.perform(row, second, &name, action);
             }
         }
     }
 
-    fn act(&mut self, row: &Row, second: u64, from: &InstanceId, action: Action) {
+    fn perform(&mut self, row: &Row, second: u64, from: &InstanceId, action: Action) {
         match action {
             Action::Beat { to, beat } => {
                 for (index, (name, membership)) in self.balancers.iter_mut().enumerate() {
-                    if to.contains(&control(index)) && row.hears(name, from, second) {
+                    if to.contains(&control(index)) && row.receives(name, from, second) {
                         let (source, beat) = (control(0), beat.clone());
                         membership.handle(at(second), Event::Beat { source, beat });
                     }
@@ -166,9 +166,9 @@
         assert!(!row.store_is_down(second), "{}", row.guards);
         let changed = proposal.apply(&self.fleet);
         let mut changed = changed.unwrap_or_else(|| panic!("{}: two writers", row.guards));
-        for gone in self.fleet.balancers.keys() {
-            if !changed.balancers.contains_key(gone) {
-                self.removed.insert(gone.clone(), second);
+        for absent in self.fleet.balancers.keys() {
+            if !changed.balancers.contains_key(absent) {
+                self.removed.insert(absent.clone(), second);
             }
         }
         changed.version = Version::new(changed.version.get() + 1);
@@ -182,11 +182,11 @@
 fn fleet_table_holds() {
     let rows: Vec<Row> = serde_json::from_str(include_str!("data/fleet.json")).unwrap();
     for row in rows {
-        let mut world = World::new(&row, 1);
+        let mut simulation = Simulation::new(&row, 1);
         for second in 0..END {
-            world.step(&row, second);
+            simulation.step(&row, second);
         }
-        assert_eq!(world.removed, row.removed, "{}", row.guards);
+        assert_eq!(simulation.removed, row.removed, "{}", row.guards);
     }
 }
 
@@ -207,28 +207,28 @@
     assert_eq!(changed.balancers.keys().collect::<Vec<_>>(), [&name(1)]);
 }
 
-/// Guards against a large fleet in which those that miss a balancer never hear of each other.
+/// Guards against a large fleet whose balancers never report a silent one to each other.
 #[test]
-fn all_that_hear_a_silent_balancer_are_told() {
+fn all_receivers_of_a_silent_balancer_are_notified() {
     let row: Row = serde_json::from_str(
         r#"{"guards": "", "balancers": 40, "dead": {"b1": [1, 60]}, "removed": {}}"#,
     )
     .unwrap();
-    let mut world = World::new(&row, 1);
-    let told = |actions: Vec<Action>| match actions.into_iter().next() {
+    let mut simulation = Simulation::new(&row, 1);
+    let targets = |actions: Vec<Action>| match actions.into_iter().next() {
         Some(Action::Beat { to, .. }) => to,
         other => panic!("no heartbeat: {other:?}"),
     };
-    let hearing = told(world.balancers[&name(1)].handle(at(0), Event::Tick));
-    assert_eq!(hearing.len(), 16);
+    let receivers = targets(simulation.balancers[&name(1)].handle(at(0), Event::Tick));
+    assert_eq!(receivers.len(), 16);
     for second in 0..6 {
-        world.step(&row, second);
+        simulation.step(&row, second);
     }
-    for index in (0..40).filter(|index| hearing.contains(&control(*index))) {
+    for index in (0..40).filter(|index| receivers.contains(&control(*index))) {
         let own = control(index);
-        let to = told(world.balancers[&name(index)].handle(at(6), Event::Tick));
+        let to = targets(simulation.balancers[&name(index)].handle(at(6), Event::Tick));
         assert!(
-            hearing
+            receivers
                 .iter()
                 .all(|other| *other == own || to.contains(other))
         );
--- a/crates/members/tests/life_cycle.rs
+++ b/crates/members/tests/life_cycle.rs
@@ -1,4 +1,4 @@
-//! The own host's life cycle and the proposals that carry it.
+//! Life cycle of the process's own host and the roster changes that it proposes.
 
 mod common;
 
@@ -148,9 +148,9 @@
     assert!(!acknowledges(&mut agent, 1));
 }
 
-/// Guards against heartbeats of a host that belongs to another service.
+/// Guards against acting on heartbeats and reports of a host of another service.
 #[test]
-fn a_foreign_host_is_neither_acknowledged_nor_believed() {
+fn a_foreign_host_is_neither_acknowledged_nor_counted() {
     let mut agent = agent(0);
     adopt(&mut agent, at(0), &roster(1, 0..3));
     let foreign = Peer::Host("stranger".parse().unwrap());
--- a/crates/members/tests/properties.rs
+++ b/crates/members/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Random losses and reports: what no run may show.
+//! Properties of removals under random heartbeat loss and reports.
 
 mod common;
 
@@ -12,7 +12,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
 
-    /// Guards against a removal of a host that was heard lately, of too many hosts at once, or
+    /// Guards against a removal of a host that sent a heartbeat lately, of too many hosts at once, or
     /// while the store is down.
     #[test]
     fn removals_are_justified(
@@ -26,7 +26,7 @@
         let mut agent = agent(0);
         agent.handle(at(0), Event::Join(member(0)));
         adopt(&mut agent, at(0), &roster(version, 0..MEMBERS));
-        let mut heard = [0_u64; MEMBERS];
+        let mut last_beats = [0_u64; MEMBERS];
         let mut store_up = true;
         for (second, (sends, reports, toggle)) in (0_u64..).zip(seconds) {
             if toggle {
@@ -39,7 +39,7 @@
             agent.handle(at(second), beat(instance, at(second), suspects));
             for (index, sent) in (1..MEMBERS).zip(sends) {
                 if sent && index != dead {
-                    heard[index] = second;
+                    last_beats[index] = second;
                     agent.handle(at(second), beat(Peer::Host(host(index)), at(second), vec![]));
                 }
             }
@@ -50,7 +50,7 @@
                 prop_assert!(hosts.len() * 2 <= MEMBERS);
                 for (removed, _) in hosts {
                     let index = (0..MEMBERS).find(|i| host(*i) == removed).unwrap();
-                    prop_assert!(second - heard[index] >= 10 + 3 - 1, "{removed} at {second} s");
+                    prop_assert!(second - last_beats[index] >= 10 + 3 - 1, "{removed} at {second} s");
                 }
             }
         }
--- a/crates/members/tests/targets.rs
+++ b/crates/members/tests/targets.rs
@@ -1,4 +1,4 @@
-//! Who sends heartbeats to whom.
+//! Which processes receive the heartbeats of an agent and of a balancer.
 
 mod common;
 
@@ -91,22 +91,22 @@
 }
 
 /// Guards against a balancer that reports hosts which never send to it, or misses those that do,
-/// and against a service of two in which the live member never learns of a second reporter.
+/// and against a service of two in which the live member never gets a second report.
 #[test]
 fn the_three_balancers_a_host_sends_to_report_its_silence() {
     for silent in 0..HOSTS {
-        let hearing = chosen(silent);
-        assert_eq!(hearing.len(), 3);
+        let receivers = chosen(silent);
+        assert_eq!(receivers.len(), 3);
         for index in 0..FLEET {
             let beats = beats_without(silent, index);
-            let told = targets(&beats);
+            let recipients = targets(&beats);
             let other = member((silent + 1) % HOSTS).agent;
-            if hearing.contains(&index) {
+            if receivers.contains(&index) {
                 assert_eq!(reported(&beats), [Peer::Host(host(silent))]);
-                assert!(told.contains(&other) && !told.contains(&control(index)));
+                assert!(recipients.contains(&other) && !recipients.contains(&control(index)));
             } else {
                 assert!(reported(&beats).is_empty());
-                assert_eq!(told.len(), FLEET - 1, "the other balancers only");
+                assert_eq!(recipients.len(), FLEET - 1, "the other balancers only");
             }
         }
     }
