--- a/crates/config/src/cache.rs
+++ b/crates/config/src/cache.rs
@@ -4,10 +4,10 @@
 
 use crate::{Kind, Object, ObjectKey};
 
-/// What became of an object that was offered to a cache.
+/// Result of [`Cache::adopt`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Adoption {
-    /// It is newer than what the cache held and replaces it.
+    /// The object is newer than the cached version and replaces it.
     Adopted,
     /// The cache holds this version or a newer one.
     Ignored,
@@ -15,7 +15,7 @@
 
 /// Newest known version of every object, tombstones included.
 ///
-/// A higher version replaces a lower one and never the reverse, whoever sends it. Tombstones stay,
+/// A higher version replaces a lower one and never the reverse, from any source. Tombstones stay,
 /// so that an old value from a stale source cannot bring a deleted object back.
 ///
 /// ```
@@ -41,7 +41,7 @@
 }
 
 impl Cache {
-    /// Adopts an object when it is newer than what the cache holds.
+    /// Stores an object if it is newer than the cached version.
     ///
     /// ```
     /// # use usher_config::{Cache, Kind, Object, WriteId};
@@ -54,11 +54,11 @@
     /// ```
     pub fn adopt(&mut self, mut object: Object) -> Adoption {
         let key = object.key();
-        if let Some(held) = self.objects.get(&key) {
-            if held.version >= object.version {
+        if let Some(cached) = self.objects.get(&key) {
+            if cached.version >= object.version {
                 return Adoption::Ignored;
             }
-            self.order.remove(&(held.version, key.clone()));
+            self.order.remove(&(cached.version, key.clone()));
         }
         if let Some(value) = &mut object.value {
             value.set_version(object.version);
@@ -68,10 +68,10 @@
         Adoption::Adopted
     }
 
-    /// Adopts what a source holds above `after`, and returns how many objects were newer.
+    /// Adopts the objects that a source holds above `after`; returns how many were newer.
     ///
-    /// The source states that nothing is missing up to `through`: the store its last version, a
-    /// peer its own `complete`.
+    /// The source states that nothing is missing up to `through`: for the store its last version,
+    /// for a peer its own `complete`.
     ///
     /// ```
     /// use usher_config::Cache;
--- a/crates/config/src/catalog.rs
+++ b/crates/config/src/catalog.rs
@@ -16,12 +16,12 @@
     pub profile: Profile,
 }
 
-/// Services in force, computed alike by every process from the same objects.
+/// Services in force; every process computes the same ones from the same objects.
 ///
-/// A write is conditional on its own object only, so two operators who race on different objects
-/// can both succeed with values that do not fit together. The catalog decides such cases the same
-/// way everywhere: of two services with one address the one accepted first stays in force, and a
-/// service whose profile is missing gets the default profile.
+/// A write is conditional on its own object only, so two operators who write different objects at
+/// once can both succeed with conflicting values. The catalog resolves such conflicts in the same
+/// way in every process: of two services with one address the one accepted first stays in force,
+/// and a service whose profile is missing gets the default profile.
 ///
 /// ```
 /// use usher_config::{Cache, Catalog};
@@ -32,7 +32,7 @@
 pub struct Catalog {
     /// Services in force, by name.
     pub entries: Vec<Entry>,
-    /// What does not fit together.
+    /// Conflicts between objects, each resolved by the rules above.
     pub faults: Vec<ConfigError>,
 }
 
@@ -48,12 +48,12 @@
             entries: Vec::new(),
             faults: Vec::new(),
         };
-        let mut owners: BTreeMap<SocketAddrV4, ServiceName> = BTreeMap::new();
+        let mut addresses: BTreeMap<SocketAddrV4, ServiceName> = BTreeMap::new();
         let mut services: Vec<_> = cache.list(Kind::Service).filter_map(service_of).collect();
         // The lower generation was accepted first; equal ones are ordered by the store.
         services.sort_by_key(|(version, _, service)| (service.generation, *version));
         for (_, name, service) in services {
-            if let Some(first) = owners.get(&service.address) {
+            if let Some(first) = addresses.get(&service.address) {
                 catalog.faults.push(ConfigError::SharedAddress {
                     first: first.clone(),
                     second: name,
@@ -61,7 +61,7 @@
                 });
                 continue;
             }
-            owners.insert(service.address, name.clone());
+            addresses.insert(service.address, name.clone());
             catalog.add(cache, name, service);
         }
         catalog.entries.sort_by(|a, b| a.name.cmp(&b.name));
--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -2,7 +2,7 @@
 
 use crate::{Object, ObjectKey, Value, WriteId};
 
-/// State of an object on which a write depends.
+/// State that an object must have for a write to take effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
     /// The object does not exist or is a tombstone.
@@ -12,7 +12,7 @@
 }
 
 impl Condition {
-    /// The condition that what was read is still the current state.
+    /// The condition that the object has not changed since it was read.
     ///
     /// ```
     /// use usher_config::Condition;
@@ -31,7 +31,7 @@
 pub struct Change {
     /// The object.
     pub key: ObjectKey,
-    /// State on which the change depends.
+    /// State that the object must have.
     pub condition: Condition,
     /// The new value; `None` deletes the object.
     pub value: Option<Value>,
@@ -40,8 +40,8 @@
 /// A change with the id under which it is sent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Write {
-    /// The same in every transmission of the write.
+    /// Stays the same when the write is sent again.
     pub id: WriteId,
-    /// What is written.
+    /// The change to make.
     pub change: Change,
 }
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -5,7 +5,7 @@
 use crate::profile_rules::check_profile;
 use crate::{Cache, Change, ConfigError, Kind, ObjectKey, Value};
 
-/// Validates a set of changes as a whole against the current configuration.
+/// Validates a set of changes together against the current configuration.
 ///
 /// Returns the changes in an order in which each one leaves a usable configuration: profiles,
 /// services that exist, new services, then deletions. Generations of services are derived.
@@ -24,10 +24,10 @@
 /// # Ok::<(), usher_config::ConfigError>(())
 /// ```
 pub fn check(cache: &Cache, changes: Vec<Change>) -> Result<Vec<Change>, Vec<ConfigError>> {
-    let mut faults = check_alone(cache, &changes);
+    let mut faults = check_each(cache, &changes);
     let changes = derive_generations(cache, changes, &mut faults);
-    let before = State::of(cache, &[]);
-    let after = State::of(cache, &changes);
+    let before = Snapshot::of(cache, &[]);
+    let after = Snapshot::of(cache, &changes);
     faults.extend(after.check_services(&changes));
     faults.extend(after.check_deletions(&changes));
     faults.extend(after.check_buckets(&before));
@@ -38,7 +38,7 @@
     }
 }
 
-fn check_alone(cache: &Cache, changes: &[Change]) -> Vec<ConfigError> {
+fn check_each(cache: &Cache, changes: &[Change]) -> Vec<ConfigError> {
     let mut faults = Vec::new();
     let mut seen = BTreeSet::new();
     for change in changes {
@@ -66,7 +66,7 @@
     cache.get(key).is_some_and(|object| object.value.is_some())
 }
 
-fn current<'a>(cache: &'a Cache, key: &ObjectKey) -> Option<&'a Service> {
+fn existing_service<'a>(cache: &'a Cache, key: &ObjectKey) -> Option<&'a Service> {
     match cache.get(key)?.value.as_ref()? {
         Value::Service(service) => Some(service),
         _ => None,
@@ -84,8 +84,8 @@
         let Some(Value::Service(service)) = &mut change.value else {
             continue;
         };
-        let held = current(cache, &change.key);
-        let generation = held.map_or_else(Generation::default, |held| held.generation);
+        let existing = existing_service(cache, &change.key);
+        let generation = existing.map_or_else(Generation::default, |existing| existing.generation);
         let found = service.generation;
         if found != Generation::default() && found != generation {
             faults.push(ConfigError::Generation {
@@ -94,8 +94,8 @@
                 current: generation,
             });
         }
-        let kept = held.is_some_and(|held| held.address == service.address);
-        service.generation = if kept {
+        let unchanged = existing.is_some_and(|existing| existing.address == service.address);
+        service.generation = if unchanged {
             generation
         } else {
             generation
@@ -107,7 +107,7 @@
 }
 
 fn in_write_order(cache: &Cache, mut changes: Vec<Change>) -> Vec<Change> {
-    // A service that gives an address up comes before a new one that takes it.
+    // A service that releases an address is written before a new one that uses it.
     changes.sort_by_key(|change| match (change.key.kind, &change.value) {
         (Kind::Profile, Some(_)) => 0,
         (_, Some(_)) if exists(cache, &change.key) => 1,
@@ -119,25 +119,25 @@
 }
 
 /// Profiles and services as they are, or as they would be after a set of changes.
-struct State<'a> {
+struct Snapshot<'a> {
     profiles: BTreeMap<ProfileName, &'a Profile>,
     services: BTreeMap<ServiceName, &'a Service>,
 }
 
-impl<'a> State<'a> {
+impl<'a> Snapshot<'a> {
     fn of(cache: &'a Cache, changes: &'a [Change]) -> Self {
-        let mut state = Self {
+        let mut snapshot = Self {
             profiles: BTreeMap::new(),
             services: BTreeMap::new(),
         };
         let objects = cache.list(Kind::Profile).chain(cache.list(Kind::Service));
         for object in objects {
-            state.set(&object.key(), object.value.as_ref());
+            snapshot.set(&object.key(), object.value.as_ref());
         }
         for change in changes {
-            state.set(&change.key, change.value.as_ref());
+            snapshot.set(&change.key, change.value.as_ref());
         }
-        state
+        snapshot
     }
 
     fn set(&mut self, key: &ObjectKey, value: Option<&'a Value>) {
@@ -159,9 +159,9 @@
     }
 
     fn check_services(&self, changes: &[Change]) -> Vec<ConfigError> {
-        let mut owners = BTreeMap::new();
+        let mut addresses = BTreeMap::new();
         for (name, service) in &self.services {
-            owners
+            addresses
                 .entry(service.address)
                 .or_insert_with(Vec::new)
                 .push(name);
@@ -189,7 +189,7 @@
                     profile: service.profile.clone(),
                 });
             }
-            for other in owners.get(&address).into_iter().flatten() {
+            for other in addresses.get(&address).into_iter().flatten() {
                 if **other != name {
                     faults.push(ConfigError::SharedAddress {
                         first: (*other).clone(),
@@ -224,16 +224,16 @@
 
     // Flows are assigned by bucket, so another number of buckets moves flows between hosts without
     // a handover. A service that changes its address starts without flows.
-    fn check_buckets(&self, before: &State<'_>) -> Vec<ConfigError> {
+    fn check_buckets(&self, before: &Snapshot<'_>) -> Vec<ConfigError> {
         let mut faults = Vec::new();
         for (name, service) in &self.services {
-            let Some(held) = before.services.get(name) else {
+            let Some(existing) = before.services.get(name) else {
                 continue;
             };
-            let pair = (before.buckets(held), self.buckets(service));
+            let pair = (before.buckets(existing), self.buckets(service));
             if let (Some(current), Some(found)) = pair
                 && current != found
-                && held.address == service.address
+                && existing.address == service.address
             {
                 faults.push(ConfigError::Buckets {
                     service: name.clone(),
--- a/crates/config/src/conflict.rs
+++ b/crates/config/src/conflict.rs
@@ -2,7 +2,7 @@
 
 use crate::{Change, Diff, Object};
 
-/// A conditional write that found another state than it was made for.
+/// A write that was not made because its condition does not hold.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Conflict {
     /// The change that was not made.
--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(transparent)]
 pub struct Diff {
-    /// The fields, in the order of the value.
+    /// Fields of the new value in its order, then removed fields.
     pub fields: Vec<FieldChange>,
 }
 
@@ -73,7 +73,7 @@
     }
 }
 
-// Values are taken apart without `..`, so that a new field without an entry does not compile.
+// Values are destructured without `..`, so that a new field without an entry does not compile.
 #[derive(Default)]
 struct Fields(IndexMap<String, String>);
 
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -5,7 +5,7 @@
 
 use crate::{Kind, ObjectKey};
 
-/// A fault in configuration data, or a lease that may not be used (`MU-2xxx`).
+/// Invalid configuration data, or use of an expired lease (`MU-2xxx`).
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum ConfigError {
@@ -109,7 +109,7 @@
     /// One object is named twice in a set of changes.
     #[error("MU-2013: {0} is changed twice")]
     Repeated(ObjectKey),
-    /// The kind is not for operators to change.
+    /// Operators may not change objects of this kind.
     #[error("MU-2014: {0} is written by the system only")]
     SystemKind(ObjectKey),
     /// The lease is past its term on the holder's clock.
--- a/crates/config/src/kind.rs
+++ b/crates/config/src/kind.rs
@@ -15,9 +15,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// How traffic is treated; written by operators.
+    /// Traffic settings that services share; written by operators.
     Profile,
-    /// An address and its profile; written by operators.
+    /// Address of a service and the name of its profile; written by operators.
     Service,
     /// Members of a service, by the service's name.
     Roster,
--- a/crates/config/src/lease_record.rs
+++ b/crates/config/src/lease_record.rs
@@ -7,6 +7,6 @@
 pub struct LeaseRecord {
     /// The process that holds the lease.
     pub holder: Peer,
-    /// Time that the holder may act after sending the write of this version.
+    /// Validity of the lease, counted from the sending of the write of this version.
     pub term: Span,
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,4 +1,4 @@
-//! Configuration state: versioned objects, tombstones, validation and write resolution.
+//! Configuration state: versioned objects, tombstones, validation and outcomes of writes.
 //!
 //! Nothing here performs I/O, reads a clock or encodes a value.
 
--- a/crates/config/src/object.rs
+++ b/crates/config/src/object.rs
@@ -50,7 +50,7 @@
     pub kind: Kind,
     /// Name within the kind.
     pub name: ObjectName,
-    /// The only order between values of the object.
+    /// Orders the values of the object; nothing else does.
     pub version: Version,
     /// Write that made this version.
     pub write_id: WriteId,
--- a/crates/config/src/pending.rs
+++ b/crates/config/src/pending.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Lost;
 
-/// What came of one transmission of a write.
+/// Result of one transmission of a write.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
     /// The store made the change in this version.
@@ -88,7 +88,7 @@
     pub fn answered(self, answer: Answer) -> Step {
         match answer {
             Answer::Written(version) => Step::Done(version),
-            Answer::Refused(current) => self.settle(current),
+            Answer::Refused(current) => self.resolve(current),
             Answer::Lost => Step::ReadBack(Pending {
                 write: self.write,
                 uncertain: true,
@@ -101,7 +101,7 @@
 impl Pending<Lost> {
     /// Takes the object that was read back.
     ///
-    /// A replica that is older than the write's condition decides nothing; the retry does.
+    /// A replica that is older than the write's condition proves nothing, so the write is retried.
     ///
     /// ```
     /// # use usher_config::{Answer, Change, Condition, Kind, ObjectKey, Pending, Step, Write, WriteId};
@@ -114,7 +114,7 @@
     /// ```
     pub fn read(self, current: Option<Object>) -> Step {
         if !self.write.change.condition.may_hold(current.as_ref()) {
-            return self.settle(current);
+            return self.resolve(current);
         }
         Step::Retry(Pending {
             write: self.write,
@@ -139,7 +139,7 @@
         &self.write
     }
 
-    fn settle(self, current: Option<Object>) -> Step {
+    fn resolve(self, current: Option<Object>) -> Step {
         match current {
             Some(object) if object.write_id == self.write.id => Step::Done(object.version),
             current => Step::Conflict(Conflict {
@@ -152,7 +152,7 @@
 }
 
 impl Condition {
-    // A version below the condition's comes from a stale replica and rules nothing out.
+    // A version below the condition's comes from a stale replica, so the condition may still hold.
     fn may_hold(self, read: Option<&Object>) -> bool {
         match (self, read) {
             (_, None) => true,
--- a/crates/config/src/profile_rules.rs
+++ b/crates/config/src/profile_rules.rs
@@ -14,8 +14,8 @@
 /// Lists every field of a profile that is out of range.
 pub(crate) fn check_profile(name: &ObjectName, profile: &Profile) -> Vec<ConfigError> {
     let mut faults = Vec::new();
-    let mut require = |holds: bool, field: &str, found: String, expected: &'static str| {
-        if !holds {
+    let mut require = |valid: bool, field: &str, found: String, expected: &'static str| {
+        if !valid {
             faults.push(ConfigError::Field {
                 profile: name.to_string(),
                 field: field.to_owned(),
@@ -37,9 +37,9 @@
         ("deadline", profile.deadline),
     ];
     for (field, span) in times {
-        let holds = span > Span::ZERO && span <= MAX_DEADLINE;
+        let valid = span > Span::ZERO && span <= MAX_DEADLINE;
         require(
-            holds,
+            valid,
             field,
             span.to_string(),
             "more than 0s and at most 600s",
@@ -68,9 +68,9 @@
         "at most 256 methods",
     );
     for method in profile.methods.keys() {
-        let holds = !method.is_empty() && method.len() <= MAX_METHOD_BYTES;
+        let valid = !method.is_empty() && method.len() <= MAX_METHOD_BYTES;
         require(
-            holds,
+            valid,
             "methods",
             format!("'{method}'"),
             "names of 1 to 128 bytes",
--- a/crates/config/src/rollout.rs
+++ b/crates/config/src/rollout.rs
@@ -2,7 +2,7 @@
 
 use usher_types::{Incarnation, Peer, Version};
 
-/// A process's statement of the configuration it has in force.
+/// Configuration version that one process reports to have in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
     /// The process.
@@ -13,12 +13,12 @@
     pub revision: Version,
 }
 
-/// How far a change has spread.
+/// Progress of a configuration version across the live processes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RolloutState {
     /// Every live process has the version in force.
     InForce,
-    /// Some processes do not, or were not heard.
+    /// Some processes have an older version or have not reported.
     Waiting {
         /// Processes with an older version, and that version.
         lagging: Vec<(Peer, Version)>,
@@ -64,7 +64,7 @@
         self.target
     }
 
-    /// Adds a live process; it counts until it is removed.
+    /// Adds a live process, whose report is required until it is removed.
     ///
     /// ```
     /// use usher_config::{Rollout, RolloutState};
@@ -92,7 +92,7 @@
         self.reports.remove(peer);
     }
 
-    /// Takes a report, also from a process that joined meanwhile.
+    /// Records a report, also from a process that joined after tracking began.
     ///
     /// Reports may arrive out of order: within one incarnation the highest revision counts, and a
     /// report of an earlier incarnation is ignored.
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Whether the version is in force everywhere, or which processes hold it back.
+    /// Whether the version is in force everywhere, or which processes lack it.
     ///
     /// ```
     /// use usher_config::{Rollout, RolloutState};
--- a/crates/config/src/store_lease.rs
+++ b/crates/config/src/store_lease.rs
@@ -5,18 +5,18 @@
     WriteId,
 };
 
-// Clocks of two processes run at rates within 1 % of each other, so a bidder's clock may be ahead
-// of the holder's by up to 2 % of the term.
+// Clocks of two processes run at rates within 1 % of each other, so the clock of another process
+// may be ahead of the holder's by up to 2 % of the term.
 const DRIFT_FACTOR: f64 = 1.02;
 
 /// Life-cycle state of a lease that this process does not hold.
 #[derive(Debug, Clone, Default)]
 pub struct Lapsed {
-    seen: Option<Seen>,
+    observation: Option<Observation>,
 }
 
 #[derive(Debug, Clone)]
-struct Seen {
+struct Observation {
     version: Version,
     term: Option<Span>,
     since: Time,
@@ -31,16 +31,16 @@
 
 /// A lease on an object of the store, as one process sees it.
 ///
-/// The holder checks its own clock before it acts, and each write of the lease depends on the
-/// version that the holder knows, so a holder that resumes late is fenced.
+/// The holder checks its own clock before it acts, and each write of the lease is conditional on
+/// the version last written by the holder, so a holder that resumes after its term cannot write.
 ///
 /// ```
 /// use usher_config::{StoreLease, WriteId};
 /// use usher_types::{Peer, Span, Time, Version};
-/// let me = Peer::Instance("riga-centrs-1".parse().unwrap());
-/// let mut lease = StoreLease::new("watcher".parse()?, me, Span::from_secs(3));
+/// let own = Peer::Instance("riga-centrs-1".parse().unwrap());
+/// let mut lease = StoreLease::new("watcher".parse()?, own, Span::from_secs(3));
 /// lease.observe(Time::ZERO, None);
-/// assert!(lease.bid(Time::ZERO, WriteId::new(1)).is_some());
+/// assert!(lease.acquire(Time::ZERO, WriteId::new(1)).is_some());
 /// let held = lease.granted(Time::ZERO, Version::new(5));
 /// assert!(held.check(Time::from_micros(2_999_999)).is_ok());
 /// assert!(held.check(Time::from_micros(3_000_000)).is_err());
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone)]
 pub struct StoreLease<State> {
     name: ObjectName,
-    me: Peer,
+    own: Peer,
     term: Span,
     state: State,
 }
@@ -57,7 +57,7 @@
 impl<State> StoreLease<State> {
     fn write(&self, id: WriteId, condition: Condition, held: bool) -> Write {
         let record = LeaseRecord {
-            holder: self.me.clone(),
+            holder: self.own.clone(),
             term: self.term,
         };
         let change = Change {
@@ -71,7 +71,7 @@
     fn with<Next>(self, state: Next) -> StoreLease<Next> {
         StoreLease {
             name: self.name,
-            me: self.me,
+            own: self.own,
             term: self.term,
             state,
         }
@@ -79,34 +79,34 @@
 }
 
 impl StoreLease<Lapsed> {
-    /// A lease that nobody is known to hold.
+    /// A lease that this process does not hold and has not read yet.
     ///
     /// ```
     /// # use usher_config::{StoreLease, WriteId};
     /// # use usher_types::{Peer, Span, Time};
-    /// let me = Peer::Instance("riga-centrs-1".parse().unwrap());
-    /// let lease = StoreLease::new("watcher".parse()?, me, Span::from_secs(3));
-    /// assert!(lease.bid(Time::ZERO, WriteId::new(1)).is_none());
+    /// let own = Peer::Instance("riga-centrs-1".parse().unwrap());
+    /// let lease = StoreLease::new("watcher".parse()?, own, Span::from_secs(3));
+    /// assert!(lease.acquire(Time::ZERO, WriteId::new(1)).is_none());
     /// # Ok::<(), usher_config::ConfigError>(())
     /// ```
-    pub fn new(name: ObjectName, me: Peer, term: Span) -> Self {
+    pub fn new(name: ObjectName, own: Peer, term: Span) -> Self {
         Self {
             name,
-            me,
+            own,
             term,
             state: Lapsed::default(),
         }
     }
 
-    /// Takes the lease object as read at `now`; `None` when it does not exist.
+    /// Records the lease object as read at `now`; `None` when it does not exist.
     ///
     /// ```
     /// # use usher_config::{StoreLease, WriteId};
     /// # use usher_types::{Peer, Span, Time};
-    /// # let me = Peer::Instance("riga-centrs-1".parse().unwrap());
-    /// let mut lease = StoreLease::new("watcher".parse()?, me, Span::from_secs(3));
+    /// # let own = Peer::Instance("riga-centrs-1".parse().unwrap());
+    /// let mut lease = StoreLease::new("watcher".parse()?, own, Span::from_secs(3));
     /// lease.observe(Time::ZERO, None);
-    /// assert!(lease.bid(Time::ZERO, WriteId::new(1)).is_some());
+    /// assert!(lease.acquire(Time::ZERO, WriteId::new(1)).is_some());
     /// # Ok::<(), usher_config::ConfigError>(())
     /// ```
     pub fn observe(&mut self, now: Time, object: Option<&Object>) {
@@ -117,11 +117,11 @@
         };
         if self
             .state
-            .seen
+            .observation
             .as_ref()
-            .is_none_or(|seen| seen.version < version)
+            .is_none_or(|observation| observation.version < version)
         {
-            self.state.seen = Some(Seen {
+            self.state.observation = Some(Observation {
                 version,
                 term,
                 since: now,
@@ -131,36 +131,36 @@
 
     /// The write that takes the lease, if nobody can still hold it.
     ///
-    /// A version that has not changed for its term, with a margin for clock drift, has lapsed.
+    /// A lease whose version has not changed for its term plus the drift margin has lapsed.
     ///
     /// ```
     /// # use usher_config::{StoreLease, WriteId};
     /// # use usher_types::{Peer, Span, Time};
-    /// # let me = Peer::Instance("riga-centrs-1".parse().unwrap());
-    /// let mut lease = StoreLease::new("watcher".parse()?, me, Span::from_secs(3));
+    /// # let own = Peer::Instance("riga-centrs-1".parse().unwrap());
+    /// let mut lease = StoreLease::new("watcher".parse()?, own, Span::from_secs(3));
     /// lease.observe(Time::ZERO, None);
-    /// assert!(lease.bid(Time::ZERO, WriteId::new(1)).is_some());
+    /// assert!(lease.acquire(Time::ZERO, WriteId::new(1)).is_some());
     /// # Ok::<(), usher_config::ConfigError>(())
     /// ```
-    pub fn bid(&self, now: Time, id: WriteId) -> Option<Write> {
-        let seen = self.state.seen.as_ref()?;
-        let condition = match seen.term {
+    pub fn acquire(&self, now: Time, id: WriteId) -> Option<Write> {
+        let observation = self.state.observation.as_ref()?;
+        let condition = match observation.term {
             None => Condition::Absent,
-            Some(term) if now - seen.since >= term.scale(DRIFT_FACTOR) => {
-                Condition::Version(seen.version)
+            Some(term) if now - observation.since >= term.scale(DRIFT_FACTOR) => {
+                Condition::Version(observation.version)
             }
             Some(_) => return None,
         };
         Some(self.write(id, condition, true))
     }
 
-    /// The bid sent at `sent` was written; the term counts from its sending.
+    /// The acquiring write sent at `sent` took effect; the term counts from its sending.
     ///
     /// ```
     /// # use usher_config::StoreLease;
     /// # use usher_types::{Peer, Span, Time, Version};
-    /// # let me = Peer::Instance("riga-centrs-1".parse().unwrap());
-    /// let lease = StoreLease::new("watcher".parse()?, me, Span::from_secs(3));
+    /// # let own = Peer::Instance("riga-centrs-1".parse().unwrap());
+    /// let lease = StoreLease::new("watcher".parse()?, own, Span::from_secs(3));
     /// let held = lease.granted(Time::ZERO, Version::new(5));
     /// assert_eq!(held.check(Time::ZERO)?, Version::new(5));
     /// # Ok::<(), usher_config::ConfigError>(())
@@ -172,7 +172,7 @@
 }
 
 impl StoreLease<Held> {
-    /// The version to act under, if the term has not ended at `now`.
+    /// Version of the held lease, if its term has not ended at `now`.
     ///
     /// # Errors
     /// `MU-2015` when the term has ended on this process's clock.
@@ -180,8 +180,8 @@
     /// ```
     /// # use usher_config::StoreLease;
     /// # use usher_types::{Peer, Span, Time, Version};
-    /// # let me = Peer::Instance("riga-centrs-1".parse().unwrap());
-    /// # let lease = StoreLease::new("watcher".parse()?, me, Span::from_secs(3));
+    /// # let own = Peer::Instance("riga-centrs-1".parse().unwrap());
+    /// # let lease = StoreLease::new("watcher".parse()?, own, Span::from_secs(3));
     /// let held = lease.granted(Time::ZERO, Version::new(5));
     /// assert_eq!(held.check(Time::from_micros(3_000_000)).unwrap_err().code(), "MU-2015");
     /// # Ok::<(), usher_config::ConfigError>(())
@@ -202,8 +202,8 @@
     /// ```
     /// # use usher_config::{Condition, StoreLease, WriteId};
     /// # use usher_types::{Peer, Span, Time, Version};
-    /// # let me = Peer::Instance("riga-centrs-1".parse().unwrap());
-    /// # let lease = StoreLease::new("watcher".parse()?, me, Span::from_secs(3));
+    /// # let own = Peer::Instance("riga-centrs-1".parse().unwrap());
+    /// # let lease = StoreLease::new("watcher".parse()?, own, Span::from_secs(3));
     /// let held = lease.granted(Time::ZERO, Version::new(5));
     /// let write = held.renewal(Time::ZERO, WriteId::new(2))?;
     /// assert_eq!(write.change.condition, Condition::Version(Version::new(5)));
@@ -222,8 +222,8 @@
     /// ```
     /// # use usher_config::{StoreLease, WriteId};
     /// # use usher_types::{Peer, Span, Time, Version};
-    /// # let me = Peer::Instance("riga-centrs-1".parse().unwrap());
-    /// # let lease = StoreLease::new("watcher".parse()?, me, Span::from_secs(3));
+    /// # let own = Peer::Instance("riga-centrs-1".parse().unwrap());
+    /// # let lease = StoreLease::new("watcher".parse()?, own, Span::from_secs(3));
     /// let held = lease.granted(Time::ZERO, Version::new(5));
     /// assert!(held.release(Time::ZERO, WriteId::new(2))?.change.value.is_none());
     /// # Ok::<(), usher_config::ConfigError>(())
@@ -233,13 +233,13 @@
         Ok(self.write(id, Condition::Version(version), false))
     }
 
-    /// The renewal sent at `sent` was written; the term counts from its sending.
+    /// The renewal sent at `sent` took effect; the term counts from its sending.
     ///
     /// ```
     /// # use usher_config::StoreLease;
     /// # use usher_types::{Peer, Span, Time, Version};
-    /// # let me = Peer::Instance("riga-centrs-1".parse().unwrap());
-    /// # let lease = StoreLease::new("watcher".parse()?, me, Span::from_secs(3));
+    /// # let own = Peer::Instance("riga-centrs-1".parse().unwrap());
+    /// # let lease = StoreLease::new("watcher".parse()?, own, Span::from_secs(3));
     /// let held = lease.granted(Time::ZERO, Version::new(5));
     /// let held = held.renewed(Time::from_micros(10), Version::new(6));
     /// assert_eq!(held.check(Time::from_micros(3_000_000))?, Version::new(6));
@@ -256,10 +256,10 @@
     /// ```
     /// # use usher_config::{StoreLease, WriteId};
     /// # use usher_types::{Peer, Span, Time, Version};
-    /// # let me = Peer::Instance("riga-centrs-1".parse().unwrap());
-    /// # let lease = StoreLease::new("watcher".parse()?, me, Span::from_secs(3));
+    /// # let own = Peer::Instance("riga-centrs-1".parse().unwrap());
+    /// # let lease = StoreLease::new("watcher".parse()?, own, Span::from_secs(3));
     /// let lapsed = lease.granted(Time::ZERO, Version::new(5)).lapse();
-    /// assert!(lapsed.bid(Time::ZERO, WriteId::new(2)).is_none());
+    /// assert!(lapsed.acquire(Time::ZERO, WriteId::new(2)).is_none());
     /// # Ok::<(), usher_config::ConfigError>(())
     /// ```
     pub fn lapse(self) -> StoreLease<Lapsed> {
--- a/crates/config/src/typed.rs
+++ b/crates/config/src/typed.rs
@@ -4,7 +4,7 @@
 
 use crate::{Cache, Kind, ObjectKey, Value};
 
-/// Values of a cache by their types.
+/// Typed access to the values of a cache.
 impl Cache {
     /// All services that exist, by name.
     ///
--- a/crates/config/src/write_id.rs
+++ b/crates/config/src/write_id.rs
@@ -5,9 +5,9 @@
 
 use crate::ConfigError;
 
-/// Random 128-bit number of one write, kept by the store with the object.
+/// Random 128-bit id of one write; the store keeps it with the object.
 ///
-/// Reading it back tells whether a write took effect whose answer was lost.
+/// Reading it back shows whether a write took effect when its answer was lost.
 ///
 /// ```
 /// use usher_config::WriteId;
@@ -22,7 +22,7 @@
 pub struct WriteId(u128);
 
 impl WriteId {
-    /// Wraps a plain number.
+    /// Creates the id with this number.
     ///
     /// ```
     /// assert_eq!(usher_config::WriteId::new(7).get(), 7);
--- a/crates/config/tests/cache.rs
+++ b/crates/config/tests/cache.rs
@@ -1,4 +1,4 @@
-//! Adoption of versions from several sources.
+//! Versions from several sources, stale or repeated, in one cache.
 
 mod support;
 
@@ -29,12 +29,12 @@
             let adoption = cache.adopt(profile(offer[0].as_u64().unwrap(), &offer[1]));
             assert_eq!(json!(adoption == Adoption::Adopted), *adopted, "{guards}");
         }
-        let ends = profile(row["ends"][0].as_u64().unwrap(), &row["ends"][1]);
-        assert_eq!(cache.get(&ends.key()), Some(&ends), "{guards}");
+        let expected = profile(row["ends"][0].as_u64().unwrap(), &row["ends"][1]);
+        assert_eq!(cache.get(&expected.key()), Some(&expected), "{guards}");
         assert_eq!(cache.since(Version::default()).count(), 1, "{guards}");
         assert_eq!(
-            cache.list(ends.kind).count(),
-            usize::from(ends.value.is_some()),
+            cache.list(expected.kind).count(),
+            usize::from(expected.value.is_some()),
             "{guards}"
         );
     }
@@ -84,20 +84,21 @@
 }
 
 proptest! {
-    // Guards against a state that depends on which source answers when: a cache that hears parts
-    // of the history from several sources, stale or repeated, must never go back and must end alike.
+    // Guards against a state that depends on which source answers when: a cache that
+    // receives parts of the history from several sources, stale or repeated, must never go back and
+    // must end in the same state.
     #[test]
     fn no_interleaving_reverts(
         history in history(),
-        picks in proptest::collection::vec(any::<proptest::sample::Index>(), 0..120),
+        indices in proptest::collection::vec(any::<proptest::sample::Index>(), 0..120),
     ) {
         let mut cache = Cache::default();
         let mut newest: BTreeMap<_, Object> = BTreeMap::new();
-        for pick in picks {
-            let offered = pick.get(&history);
-            let held = cache.get(&offered.key()).map(|object| object.version);
+        for index in indices {
+            let offered = index.get(&history);
+            let cached = cache.get(&offered.key()).map(|object| object.version);
             let adopted = cache.adopt(offered.clone()) == Adoption::Adopted;
-            prop_assert_eq!(adopted, held.is_none_or(|held| held < offered.version));
+            prop_assert_eq!(adopted, cached.is_none_or(|cached| cached < offered.version));
             let entry = newest.entry(offered.key()).or_insert_with(|| offered.clone());
             if entry.version < offered.version {
                 *entry = offered.clone();
@@ -106,7 +107,7 @@
                 prop_assert_eq!(cache.get(key), Some(object));
             }
         }
-        let since: Vec<Version> = cache.since(Version::default()).map(|held| held.version).collect();
+        let since: Vec<Version> = cache.since(Version::default()).map(|cached| cached.version).collect();
         prop_assert!(since.is_sorted());
         prop_assert_eq!(since.len(), newest.len());
         prop_assert_eq!(cache.revision(), since.last().copied().unwrap_or_default());
--- a/crates/config/tests/changes.rs
+++ b/crates/config/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Validation of sets of changes, and what two operators can do to each other.
+//! Validation of sets of changes, and conflicts between changes of two operators.
 
 mod support;
 
@@ -71,8 +71,8 @@
     }
 }
 
-// Guards against two operators who both succeed and leave an address to whoever wrote last, or to a
-// different service on each process.
+// Guards against two operators who both succeed and give an address to the service that was written
+// last, or to different services in different processes.
 #[test]
 fn first_accepted_service_keeps_its_address() {
     let late = object("service/aaa", 30, 1, &service("192.0.2.1:80", "none", 21));
--- a/crates/config/tests/lease.rs
+++ b/crates/config/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Leases in the store with paused holders, and the spread of a version.
+//! Leases in the store with paused holders, and the rollout of a version.
 
 mod support;
 
@@ -26,34 +26,40 @@
 fn lease_is_taken_only_after_its_term() {
     let record = json!({ "holder": { "Instance": "one" }, "term": "3s" });
     let held = object("lease/watcher", 5, 1, &record);
-    let mut bidder = lease("two");
-    assert!(bidder.bid(at(9_000), ID).is_none(), "nothing was read yet");
-    bidder.observe(at(0), Some(&held));
-    bidder.observe(at(2_000), Some(&held));
-    assert!(bidder.bid(at(3_059), ID).is_none());
-    let bid = bidder.bid(at(3_060), ID).unwrap();
-    assert_eq!(bid.change.condition, Condition::Version(Version::new(5)));
+    let mut contender = lease("two");
+    assert!(
+        contender.acquire(at(9_000), ID).is_none(),
+        "nothing was read yet"
+    );
+    contender.observe(at(0), Some(&held));
+    contender.observe(at(2_000), Some(&held));
+    assert!(contender.acquire(at(3_059), ID).is_none());
+    let taken = contender.acquire(at(3_060), ID).unwrap();
+    assert_eq!(taken.change.condition, Condition::Version(Version::new(5)));
     let renewed = object("lease/watcher", 6, 1, &record);
-    bidder.observe(at(3_060), Some(&renewed));
+    contender.observe(at(3_060), Some(&renewed));
     assert!(
-        bidder.bid(at(6_000), ID).is_none(),
+        contender.acquire(at(6_000), ID).is_none(),
         "a renewal starts the term again"
     );
-    bidder.observe(at(6_000), Some(&held));
-    assert!(bidder.bid(at(6_120), ID).is_some(), "a stale read does not");
-    bidder.observe(
+    contender.observe(at(6_000), Some(&held));
+    assert!(
+        contender.acquire(at(6_120), ID).is_some(),
+        "a stale read does not"
+    );
+    contender.observe(
         at(6_200),
         Some(&object("lease/watcher", 7, 1, &json!(null))),
     );
     assert_eq!(
-        bidder.bid(at(6_200), ID).unwrap().change.condition,
+        contender.acquire(at(6_200), ID).unwrap().change.condition,
         Condition::Absent
     );
 }
 
 // Guards against a holder that acts or writes after a pause longer than its term.
 #[test]
-fn paused_holder_is_fenced() {
+fn paused_holder_cannot_act() {
     let held = lease("one").granted(at(100), Version::new(5));
     assert_eq!(held.check(at(3_099)).unwrap(), Version::new(5));
     let renewal = held.renewal(at(3_099), ID).unwrap();
@@ -65,14 +71,14 @@
     assert!(held.renewal(at(3_100), ID).is_err());
     assert!(held.release(at(3_100), ID).is_err());
     assert!(
-        held.lapse().bid(at(9_000), ID).is_none(),
+        held.lapse().acquire(at(9_000), ID).is_none(),
         "the lease has to be read again first"
     );
 }
 
-// Guards against a version reported as in force while a process lags, restarted or was not heard.
+// Guards against a version reported as in force while a process lags, restarted or never reported.
 #[test]
-fn rollout_names_who_holds_it_back() {
+fn rollout_names_the_processes_that_lack_the_version() {
     let mut rollout = Rollout::new(Version::new(9));
     rollout.expect(peer("one"));
     rollout.expect(peer("two"));
@@ -102,7 +108,7 @@
     assert_eq!(
         report("three", 1, 4),
         waiting(&[("three", 4)], &[]),
-        "it joined meanwhile"
+        "it joined after the others"
     );
     assert_eq!(report("three", 1, 9), RolloutState::InForce);
     assert_eq!(
--- a/crates/config/tests/support/mod.rs
+++ b/crates/config/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Objects for the tests of this folder.
+//! Keys, values and objects from JSON for the tests.
 
 use serde_json::Value as Json;
 use usher_config::{Kind, Object, ObjectKey, Value, WriteId};
--- a/crates/config/tests/writes.rs
+++ b/crates/config/tests/writes.rs
@@ -1,4 +1,4 @@
-//! Outcome of conditional writes, whatever is lost.
+//! Outcome of conditional writes whose answers may be lost.
 
 mod support;
 
