--- a/crates/members/src/proposal.rs
+++ b/crates/members/src/proposal.rs
@@ -45,8 +45,8 @@
 
     /// The roster to write, with earlier rosters whose members may still act as owners.
     ///
-    /// It lists the roster that it replaces and those of its earlier ones that the writer does not
-    /// know as settled; `None` as `unsettled` means that the writer knows nothing of them.
+    /// It lists the replaced roster and those of its earlier rosters whose versions are in
+    /// `unsettled`; with `None` it keeps all, because the writer does not know which are settled.
     ///
     /// ```
     /// use usher_members::{Change, Proposal};
--- a/crates/members/tests/fleet.rs
+++ b/crates/members/tests/fleet.rs
@@ -190,7 +190,7 @@
     }
 }
 
-/// Guards against a removal that takes out a balancer that has been started again meanwhile.
+/// Guards against a removal that takes out a balancer that has been restarted since its suspicion.
 #[test]
 fn proposal_spares_a_later_process() {
     let proposal = |incarnation| FleetProposal {
--- a/crates/members/tests/properties.rs
+++ b/crates/members/tests/properties.rs
@@ -12,8 +12,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
 
-    /// Guards against a removal of a host that sent a heartbeat lately, of too many hosts at once, or
-    /// while the store is down.
+    /// Guards against a removal of a host that sent a heartbeat recently, of too many hosts at
+    /// once, or while the store is down.
     #[test]
     fn removals_are_justified(
         seconds in prop::collection::vec(
