--- a/crates/config/src/value.rs
+++ b/crates/config/src/value.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    // Rosters and fleets carry the version of their object, which the encoded value does not contain.
+    // Rosters and fleets carry the version of their object, which is not encoded.
     pub(crate) fn set_version(&mut self, version: Version) {
         match self {
             Self::Roster(roster) => roster.version = version,
