--- a/crates/placement/src/bucket.rs
+++ b/crates/placement/src/bucket.rs
@@ -1,7 +1,9 @@
 use usher_types::{Bucket, Buckets, FlowId};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The bucket of a flow: a hash of both addresses, without the nonce.
+/// Maps a flow to a bucket by a hash of both addresses.
+///
+/// The flow's nonce is not part of the hash.
 ///
 /// ```
 /// use usher_types::Buckets;
--- a/crates/placement/src/key.rs
+++ b/crates/placement/src/key.rs
@@ -1,6 +1,6 @@
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The rendezvous key of a name, the same in every process.
+/// Hashes a name to a rendezvous key; every process computes the same key.
 ///
 /// ```
 /// use usher_placement::key_of;
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,6 +1,6 @@
-//! Weighted rendezvous hashing: which members come first for a key.
+//! Weighted rendezvous hashing: ranks the members of a service for a key.
 //!
-//! Every process computes the same order from the same roster, without asking another.
+//! Every process computes the same order from the same roster, without communication.
 
 mod bucket;
 mod key;
--- a/crates/placement/src/rank.rs
+++ b/crates/placement/src/rank.rs
@@ -1,9 +1,10 @@
 use usher_types::{HostId, Weight};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Members in rendezvous order for a key, the first one first.
+/// Sorts members by descending rendezvous score for a key.
 ///
-/// A member's share of first places is proportional to its weight; members of weight 0 come last.
+/// The share of keys for which a member comes first is proportional to its weight; members of
+/// weight 0 come last.
 ///
 /// ```
 /// use usher_types::{HostId, Weight};
@@ -24,7 +25,7 @@
     scored.into_iter().map(|(_, host)| host).collect()
 }
 
-/// The member that comes first for a key, if there is any.
+/// Returns the member with the highest score for a key; `None` without members.
 ///
 /// ```
 /// let none = usher_placement::first(7, []);
@@ -45,9 +46,11 @@
     rendezvous(key, host.as_str().as_bytes(), weight.get())
 }
 
-/// Weighted rendezvous score of a member for a key; the highest comes first.
+/// Computes the weighted rendezvous score of a member for a key.
 ///
-/// A member's share of first places is proportional to its weight.
+/// The member with the highest score comes first.
+///
+/// The share of keys for which a member comes first is proportional to its weight.
 ///
 /// ```
 /// use usher_placement::rendezvous;
