--- a/crates/routing/src/hint_table.rs
+++ b/crates/routing/src/hint_table.rs
@@ -4,10 +4,11 @@
 
 use usher_types::FlowId;
 
-/// Bounded map from flow to holder; losing an entry costs a hop.
+/// Bounded cache from a flow to the agent that holds it.
 ///
-/// Two generations: a full younger one replaces the older one as a whole, so no insertion
-/// searches for a victim. An entry that is used stays in the younger generation.
+/// A packet whose entry was evicted takes one more hop. Entries are kept in two generations: when
+/// the young one is full, it replaces the old one, whose entries are all discarded. Eviction
+/// therefore needs no search. A lookup moves an entry to the young generation.
 ///
 /// ```
 /// use usher_routing::HintTable;
@@ -20,23 +21,25 @@
 /// ```
 #[derive(Debug)]
 pub struct HintTable {
-    half: usize,
+    half_capacity: usize,
     young: HashMap<FlowId, SocketAddrV4>,
     old: HashMap<FlowId, SocketAddrV4>,
 }
 
 impl HintTable {
-    /// A table of at most `capacity` entries, at least 2; memory is reserved at once.
+    /// Creates a table of at most `capacity` entries, at least 2.
+    ///
+    /// All memory is reserved here.
     ///
     /// ```
     /// assert!(usher_routing::HintTable::new(10).is_empty());
     /// ```
     pub fn new(capacity: usize) -> Self {
-        let half = (capacity / 2).max(1);
+        let half_capacity = (capacity / 2).max(1);
         Self {
-            half,
-            young: HashMap::with_capacity(half),
-            old: HashMap::with_capacity(half),
+            half_capacity,
+            young: HashMap::with_capacity(half_capacity),
+            old: HashMap::with_capacity(half_capacity),
         }
     }
 
@@ -50,14 +53,14 @@
     /// ```
     pub fn insert(&mut self, flow: FlowId, holder: SocketAddrV4) {
         self.old.remove(&flow);
-        if self.young.len() >= self.half && !self.young.contains_key(&flow) {
+        if self.young.len() >= self.half_capacity && !self.young.contains_key(&flow) {
             mem::swap(&mut self.young, &mut self.old);
             self.young.clear();
         }
         self.young.insert(flow, holder);
     }
 
-    /// The holder of a flow, if a hint is present.
+    /// Returns the holder of a flow, if the table has a hint for it.
     ///
     /// ```
     /// let mut hints = usher_routing::HintTable::new(10);
@@ -73,7 +76,7 @@
         Some(holder)
     }
 
-    /// Discards the hint of a flow.
+    /// Removes the hint for a flow.
     ///
     /// ```
     /// let mut hints = usher_routing::HintTable::new(10);
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,11 +1,11 @@
 //! Routing decisions of the balancer: tables, routes and hints.
 //!
-//! Tables and routers are immutable; a change builds new ones, and threads share them in an `Arc`.
+//! Tables and routers are immutable; a change builds new ones, which threads share through an `Arc`.
 
 mod forward;
 mod hint_table;
-mod pool;
 mod quarantine;
+mod ranked_hosts;
 mod route;
 mod router;
 mod table;
--- a/crates/routing/src/quarantine.rs
+++ b/crates/routing/src/quarantine.rs
@@ -3,13 +3,13 @@
 
 use usher_types::{ServiceName, Span, Time};
 
-/// Longest time that a packet stays in the network.
+/// Longest time that a packet can stay in the network.
 const PACKET_LIFETIME: Span = Span::from_secs(30);
 
-/// Keeps an address that moved from one service to another out of use for a packet's lifetime.
+/// Blocks an address for a packet's lifetime after it moved to another service.
 ///
-/// A caller's first packet that was sent before the move may arrive after it, and would open a flow
-/// with a service that the caller did not mean.
+/// An opening packet that was sent before the move may arrive after it. It would then open a flow
+/// with a service that the caller did not address.
 ///
 /// ```
 /// use usher_routing::Quarantine;
@@ -25,31 +25,35 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct Quarantine {
-    users: HashMap<SocketAddrV4, User>,
+    assignments: HashMap<SocketAddrV4, Assignment>,
 }
 
+/// The service that has an address, or had it last.
 #[derive(Debug)]
-struct User {
+struct Assignment {
     service: ServiceName,
-    lost: Option<Time>,
-    blocked: Option<Time>,
+    // When the service no longer had the address.
+    removed: Option<Time>,
+    blocked_until: Option<Time>,
 }
 
 impl Quarantine {
-    /// Notes which service has which address now.
+    /// Records which service has which address at `now`.
     pub fn note<'a>(
         &mut self,
         now: Time,
         services: impl IntoIterator<Item = (SocketAddrV4, &'a ServiceName)>,
     ) {
         let current: HashMap<SocketAddrV4, &ServiceName> = services.into_iter().collect();
-        for (address, user) in &mut self.users {
-            if current.get(address) != Some(&&user.service) {
-                user.lost.get_or_insert(now);
+        for (address, assignment) in &mut self.assignments {
+            if current.get(address) != Some(&&assignment.service) {
+                assignment.removed.get_or_insert(now);
             }
         }
-        self.users.retain(|address, user| {
-            let is_recent = user.lost.is_none_or(|lost| now - lost < PACKET_LIFETIME);
+        self.assignments.retain(|address, assignment| {
+            let is_recent = assignment
+                .removed
+                .is_none_or(|removed| now - removed < PACKET_LIFETIME);
             is_recent || current.contains_key(address)
         });
         for (address, service) in current {
@@ -58,33 +62,37 @@
     }
 
     fn assign(&mut self, address: SocketAddrV4, service: &ServiceName) {
-        let before = self.users.get(&address);
-        if before.is_some_and(|user| user.service == *service) {
-            if let Some(user) = self.users.get_mut(&address) {
-                user.lost = None;
+        let previous = self.assignments.get(&address);
+        if previous.is_some_and(|assignment| assignment.service == *service) {
+            if let Some(assignment) = self.assignments.get_mut(&address) {
+                assignment.removed = None;
             }
             return;
         }
-        let lost = before.and_then(|user| user.lost);
-        let blocked = lost.map(|lost| lost + PACKET_LIFETIME);
-        let user = User {
+        let removed = previous.and_then(|assignment| assignment.removed);
+        let blocked_until = removed.map(|removed| removed + PACKET_LIFETIME);
+        let assignment = Assignment {
             service: service.clone(),
-            lost: None,
-            blocked,
+            removed: None,
+            blocked_until,
         };
-        self.users.insert(address, user);
+        self.assignments.insert(address, assignment);
     }
 
-    /// Whether packets to an address may be forwarded.
+    /// Whether packets to an address may be forwarded at `now`.
     pub fn admits(&self, now: Time, address: SocketAddrV4) -> bool {
-        let user = self.users.get(&address);
-        user.and_then(|user| user.blocked)
+        let assignment = self.assignments.get(&address);
+        assignment
+            .and_then(|assignment| assignment.blocked_until)
             .is_none_or(|until| now >= until)
     }
 
-    /// When the next address comes into use.
+    /// Returns the earliest time after `now` at which a blocked address is released.
     pub fn next_release(&self, now: Time) -> Option<Time> {
-        let blocked = self.users.values().filter_map(|user| user.blocked);
-        blocked.filter(|until| *until > now).min()
+        let blocked_until = self
+            .assignments
+            .values()
+            .filter_map(|assignment| assignment.blocked_until);
+        blocked_until.filter(|until| *until > now).min()
     }
 }
--- a/crates/routing/src/pool.rs
+++ b/crates/routing/src/ranked_hosts.rs
@@ -4,39 +4,43 @@
 use usher_placement::first;
 use usher_types::{Bucket, Buckets, HostId, HostState, Roster, Weight};
 
-/// Candidates per bucket; the third covers the loss of two hosts before a roster change.
+/// Candidates per bucket; with 3, two hosts may fail before the roster changes.
 pub(crate) const CANDIDATES: usize = 3;
-/// Picks per bucket: candidates, the draining owner, owners under two earlier rosters.
-pub(crate) const PICKS: usize = CANDIDATES + 3;
-/// Rosters taken into account, the current one included.
+/// Hosts selected per bucket: candidates, the draining owner, owners under two earlier rosters.
+pub(crate) const MAX_SELECTED: usize = CANDIDATES + 3;
+/// Rosters that a table uses, including the current one.
 pub(crate) const ROSTERS: usize = 3;
-/// A table is precomputed if it has at most this many buckets per serving host; at 12 bytes a
-/// bucket, 100,000 hosts take at most 77 MB.
+/// Largest number of buckets per serving host for which a table is precomputed.
+///
+/// At 12 bytes a bucket, 100,000 hosts take at most 77 MB.
 const BUCKETS_PER_HOST: usize = 64;
-const NONE: u16 = u16::MAX;
+/// Stored in a precomputed row where no host was selected.
+const NO_HOST: u16 = u16::MAX;
 
-/// Hosts of a bucket by index into the pool: candidates first, then agents that may hold flows.
-pub(crate) type Picks = [Option<usize>; PICKS];
+/// Hosts selected for a bucket, as indexes into [`RankedHosts`].
+///
+/// Candidates come first, then hosts that may hold flows.
+pub(crate) type Selected = [Option<usize>; MAX_SELECTED];
 
-/// All hosts of up to three rosters and their order for each bucket.
+/// Hosts of up to three rosters, ranked for each bucket.
 #[derive(Debug)]
-pub(crate) struct Pool {
+pub(crate) struct RankedHosts {
     hosts: Box<[HostId]>,
     agents: Box<[SocketAddrV4]>,
-    serving: Box<[Entry]>,
-    draining: Box<[Entry]>,
-    earlier: Box<[Box<[Entry]>]>,
-    precomputed: Option<Box<[[u16; PICKS]]>>,
+    serving: Box<[WeightedHost]>,
+    draining: Box<[WeightedHost]>,
+    earlier: Box<[Box<[WeightedHost]>]>,
+    precomputed: Option<Box<[[u16; MAX_SELECTED]]>>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Entry {
+struct WeightedHost {
     host: u32,
     weight: Weight,
 }
 
-impl Pool {
-    /// Rosters newest first; more than three are ignored.
+impl RankedHosts {
+    /// Takes rosters newest first; ignores all after the third.
     pub(crate) fn new<'a>(rosters: impl IntoIterator<Item = &'a Roster>, buckets: Buckets) -> Self {
         let mut hosts: IndexMap<HostId, SocketAddrV4> = IndexMap::new();
         let mut serving = Vec::new();
@@ -46,7 +50,7 @@
             draining.push(entries(roster, HostState::Draining, &mut hosts));
         }
         let earlier = serving.split_off(serving.len().min(1));
-        let mut pool = Self {
+        let mut ranked = Self {
             agents: hosts.values().copied().collect(),
             hosts: hosts.into_keys().collect(),
             serving: serving.pop().unwrap_or_default(),
@@ -54,8 +58,8 @@
             earlier: earlier.into(),
             precomputed: None,
         };
-        pool.precompute(buckets);
-        pool
+        ranked.precompute(buckets);
+        ranked
     }
 
     pub(crate) fn is_empty(&self) -> bool {
@@ -74,51 +78,51 @@
         self.agents.iter().position(|known| *known == agent)
     }
 
-    pub(crate) fn picks(&self, bucket: Bucket) -> Picks {
+    pub(crate) fn selected(&self, bucket: Bucket) -> Selected {
         let stored = self
             .precomputed
             .as_ref()
             .and_then(|table| table.get(bucket.get() as usize));
         match stored {
-            Some(row) => row.map(|index| (index != NONE).then_some(usize::from(index))),
+            Some(row) => row.map(|index| (index != NO_HOST).then_some(usize::from(index))),
             None => self.rank(bucket),
         }
     }
 
-    /// First serving member for a bucket among those that pass the filter.
+    /// Returns the highest-ranked serving member that passes the filter.
     pub(crate) fn first_serving(
         &self,
         bucket: Bucket,
-        admit: impl Fn(usize) -> bool,
+        is_allowed: impl Fn(usize) -> bool,
     ) -> Option<usize> {
-        self.first(bucket, &self.serving, admit)
+        self.first(bucket, &self.serving, is_allowed)
     }
 
     fn precompute(&mut self, buckets: Buckets) {
         let count = buckets.get() as usize;
-        let fits = self.hosts.len() < usize::from(NONE);
-        if fits && self.serving.len() * BUCKETS_PER_HOST >= count {
-            let stored = |pick: Option<usize>| pick.map_or(NONE, |index| index as u16);
+        let indexes_fit = self.hosts.len() < usize::from(NO_HOST);
+        if indexes_fit && self.serving.len() * BUCKETS_PER_HOST >= count {
+            let stored = |choice: Option<usize>| choice.map_or(NO_HOST, |index| index as u16);
             let row = |bucket| self.rank(Bucket::new(bucket)).map(stored);
             self.precomputed = Some((0..buckets.get()).map(row).collect());
         }
     }
 
-    fn rank(&self, bucket: Bucket) -> Picks {
-        let mut picks = [None; PICKS];
+    fn rank(&self, bucket: Bucket) -> Selected {
+        let mut selected = [None; MAX_SELECTED];
         for place in 0..CANDIDATES {
-            let taken = picks;
+            let taken = selected;
             let free = |index| !taken.contains(&Some(index));
-            picks[place] = self.first(bucket, &self.serving, free);
+            selected[place] = self.first(bucket, &self.serving, free);
         }
-        picks[CANDIDATES] = self.draining_owner(bucket, picks[0]);
-        for (roster, pick) in self.earlier.iter().zip(&mut picks[CANDIDATES + 1..]) {
-            *pick = self.first(bucket, roster, |_| true);
+        selected[CANDIDATES] = self.draining_owner(bucket, selected[0]);
+        for (roster, choice) in self.earlier.iter().zip(&mut selected[CANDIDATES + 1..]) {
+            *choice = self.first(bucket, roster, |_| true);
         }
-        picks
+        selected
     }
 
-    /// The draining member that would own the bucket if it still took new flows.
+    /// Returns the draining member that would own the bucket if it still took new flows.
     fn draining_owner(&self, bucket: Bucket, owner: Option<usize>) -> Option<usize> {
         if self.draining.is_empty() {
             return None;
@@ -138,17 +142,23 @@
     fn first(
         &self,
         bucket: Bucket,
-        entries: &[Entry],
-        admit: impl Fn(usize) -> bool,
+        entries: &[WeightedHost],
+        is_allowed: impl Fn(usize) -> bool,
     ) -> Option<usize> {
-        let admitted = entries.iter().filter(|entry| admit(entry.host as usize));
+        let admitted = entries
+            .iter()
+            .filter(|entry| is_allowed(entry.host as usize));
         self.best(bucket, admitted)
     }
 
-    fn best<'a>(&self, bucket: Bucket, entries: impl Iterator<Item = &'a Entry>) -> Option<usize> {
+    fn best<'a>(
+        &self,
+        bucket: Bucket,
+        entries: impl Iterator<Item = &'a WeightedHost>,
+    ) -> Option<usize> {
         let members = entries.map(|entry| (&self.hosts[entry.host as usize], entry.weight));
         let host = first(u64::from(bucket.get()), members)?;
-        // `first` returns a reference into `hosts`, so its place is the index.
+        // `first` returns a reference into `hosts`, so its position there is the index.
         self.hosts
             .iter()
             .position(|known| std::ptr::eq(known, host))
@@ -159,14 +169,14 @@
     roster: &Roster,
     state: HostState,
     hosts: &mut IndexMap<HostId, SocketAddrV4>,
-) -> Box<[Entry]> {
+) -> Box<[WeightedHost]> {
     let mut entries = Vec::new();
     for (host, member) in &roster.members {
         if member.state == state {
-            let place = hosts.entry(host.clone());
-            let index = place.index();
-            place.or_insert(member.agent);
-            entries.push(Entry {
+            let map_entry = hosts.entry(host.clone());
+            let index = map_entry.index();
+            map_entry.or_insert(member.agent);
+            entries.push(WeightedHost {
                 host: index as u32,
                 weight: member.weight,
             });
--- a/crates/routing/src/route.rs
+++ b/crates/routing/src/route.rs
@@ -1,6 +1,6 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Agents that a packet may visit, in order; held without allocation.
+/// Agents that a packet may visit, in order; stored inline.
 ///
 /// The first [`Route::current`] addresses are candidates for a new flow. The others are agents
 /// that may hold the flow: owners under earlier rosters, draining members, suspected members.
@@ -21,7 +21,7 @@
     /// Largest number of addresses in a route.
     pub const MAX: usize = 6;
 
-    /// The addresses, first choice first.
+    /// The addresses in order of preference.
     pub fn agents(&self) -> &[SocketAddrV4] {
         &self.agents[..usize::from(self.length)]
     }
@@ -31,7 +31,9 @@
         self.current
     }
 
-    /// Appends a candidate, or an agent that may hold the flow once `current` is closed.
+    /// Appends an agent unless the route is full or already contains it.
+    ///
+    /// All candidates must be appended before the agents that only may hold the flow.
     pub(crate) fn push(&mut self, agent: SocketAddrV4, candidate: bool) {
         let full = usize::from(self.length) == Self::MAX;
         if full || self.agents().contains(&agent) {
@@ -44,23 +46,25 @@
         }
     }
 
-    /// The route that starts at a flow's holder; the holder counts as current.
-    pub(crate) fn led_by(&self, holder: SocketAddrV4) -> Self {
-        let mut led = Self::default();
-        led.push(holder, true);
+    /// Returns the route with the flow's holder in front, as a candidate.
+    pub(crate) fn starting_at(&self, holder: SocketAddrV4) -> Self {
+        let mut reordered = Self::default();
+        reordered.push(holder, true);
         let listed = self.agents().contains(&holder);
-        let skipped = self.expendable().filter(|_| !listed);
+        let skipped = self.displaced_index().filter(|_| !listed);
         for (index, agent) in self.agents().iter().enumerate() {
             if Some(index) != skipped {
-                led.push(*agent, index < usize::from(self.current));
+                reordered.push(*agent, index < usize::from(self.current));
             }
         }
-        led
+        reordered
     }
 
-    /// Entry of a full route that gives way: the third candidate, which owned the bucket under
-    /// no roster, otherwise the last address.
-    fn expendable(&self) -> Option<usize> {
+    /// Index of the address that a full route drops for the holder.
+    ///
+    /// This is the third candidate, which owned the bucket under no roster, otherwise the last
+    /// address.
+    fn displaced_index(&self) -> Option<usize> {
         let third = usize::from(self.current).saturating_sub(1);
         let place = if third >= 2 { third } else { Self::MAX - 1 };
         (usize::from(self.length) == Self::MAX).then_some(place)
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -6,7 +6,7 @@
 
 use crate::{DropReason, Forward, HintTable, Route, Table};
 
-/// Tables of all services by service address; immutable.
+/// Routing tables of all services by service address; immutable.
 ///
 /// ```
 /// use std::sync::Arc;
@@ -23,7 +23,7 @@
 }
 
 impl Router {
-    /// A router over the given tables.
+    /// Creates a router from tables by service address.
     ///
     /// ```
     /// assert!(usher_routing::Router::new([]).is_empty());
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The table of a service address.
+    /// Returns the table of a service address.
     ///
     /// ```
     /// let router = usher_routing::Router::default();
@@ -85,11 +85,11 @@
         };
         let holder = hints
             .holder(&packet.flow)
-            .filter(|holder| table.reaches(*holder) && route.agents().first() != Some(holder));
+            .filter(|holder| table.is_live(*holder) && route.agents().first() != Some(holder));
         match holder {
             Some(holder) => send(
                 table,
-                &route.led_by(holder),
+                &route.starting_at(holder),
                 RelayMode::Direct,
                 balancer,
                 packet,
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -5,9 +5,9 @@
 use usher_types::{Bucket, Buckets, FlowId, Generation, HostId, Roster, ServiceName, Version};
 
 use crate::Route;
-use crate::pool::{CANDIDATES, PICKS, Picks, Pool};
+use crate::ranked_hosts::{CANDIDATES, MAX_SELECTED, RankedHosts, Selected};
 
-/// Routes of one service; immutable.
+/// Routing table of one service; immutable.
 ///
 /// ```
 /// use usher_routing::Table;
@@ -23,7 +23,7 @@
     generation: Generation,
     version: Version,
     buckets: Buckets,
-    pool: Arc<Pool>,
+    ranked: Arc<RankedHosts>,
     suspected: Arc<[usize]>,
 }
 
@@ -52,12 +52,14 @@
             generation,
             version,
             buckets,
-            pool: Arc::new(Pool::new(rosters, buckets)),
+            ranked: Arc::new(RankedHosts::new(rosters, buckets)),
             suspected: Arc::default(),
         }
     }
 
-    /// The same table with another set of suspected hosts; shares everything else.
+    /// Returns a copy of the table with another set of suspected hosts.
+    ///
+    /// The copy shares the ranked hosts.
     ///
     /// ```
     /// use usher_routing::Table;
@@ -70,7 +72,7 @@
     pub fn with_suspected<'a>(&self, hosts: impl IntoIterator<Item = &'a HostId>) -> Self {
         let known = hosts
             .into_iter()
-            .filter_map(|host| self.pool.position(host));
+            .filter_map(|host| self.ranked.position(host));
         Self {
             suspected: known.collect(),
             ..self.clone()
@@ -92,7 +94,7 @@
         self.version
     }
 
-    /// The route of a flow; `None` if no roster has a member.
+    /// Computes the route of a flow; `None` if no roster has a member.
     ///
     /// A service whose members all drain has a route without candidates.
     ///
@@ -104,22 +106,22 @@
     /// # Ok::<(), usher_types::ParseError>(())
     /// ```
     pub fn route(&self, flow: &FlowId) -> Option<Route> {
-        if self.pool.is_empty() {
+        if self.ranked.is_empty() {
             return None;
         }
         let bucket = bucket_of(flow, self.buckets);
-        let picks = self.pool.picks(bucket);
-        let route = match self.substitute(bucket, &picks) {
-            Some(substitute) => self.ordered(&replace_third(&picks, substitute)),
-            None if self.all_suspected(&picks) => self.in_order(&picks),
-            None => self.ordered(&picks),
+        let selected = self.ranked.selected(bucket);
+        let route = match self.substitute(bucket, &selected) {
+            Some(substitute) => self.unsuspected_route(&replace_third(&selected, substitute)),
+            None if self.all_suspected(&selected) => self.full_route(&selected),
+            None => self.unsuspected_route(&selected),
         };
         (!route.agents().is_empty()).then_some(route)
     }
 
-    /// Whether an unsuspected member of the service has this address.
-    pub(crate) fn reaches(&self, agent: SocketAddrV4) -> bool {
-        self.pool
+    /// Whether the agent belongs to an unsuspected host of one of the rosters.
+    pub(crate) fn is_live(&self, agent: SocketAddrV4) -> bool {
+        self.ranked
             .position_of_agent(agent)
             .is_some_and(|index| !self.is_suspected(index))
     }
@@ -128,50 +130,52 @@
         self.suspected.contains(&index)
     }
 
-    fn all_suspected(&self, picks: &Picks) -> bool {
-        let mut candidates = picks[..CANDIDATES].iter().flatten();
+    fn all_suspected(&self, selected: &Selected) -> bool {
+        let mut candidates = selected[..CANDIDATES].iter().flatten();
         candidates.all(|index| self.is_suspected(*index))
     }
 
-    /// An unsuspected member for a bucket whose candidates are all suspected.
-    fn substitute(&self, bucket: Bucket, picks: &Picks) -> Option<usize> {
-        if self.suspected.is_empty() || !self.all_suspected(picks) {
+    /// Finds an unsuspected member for a bucket whose candidates are all suspected.
+    fn substitute(&self, bucket: Bucket, selected: &Selected) -> Option<usize> {
+        if self.suspected.is_empty() || !self.all_suspected(selected) {
             return None;
         }
-        self.pool
+        self.ranked
             .first_serving(bucket, |index| !self.is_suspected(index))
     }
 
-    /// Live candidates, then live agents that may hold the flow.
+    /// Lists unsuspected candidates, then unsuspected agents that may hold the flow.
     ///
     /// Suspected hosts are left out: an agent asks the earlier owners in a route before it opens a
-    /// flow, and a dead one would never answer.
-    fn ordered(&self, picks: &Picks) -> Route {
+    /// flow, and a failed one would never answer.
+    fn unsuspected_route(&self, selected: &Selected) -> Route {
         let mut route = Route::default();
-        for (place, index) in picks.iter().enumerate() {
+        for (place, index) in selected.iter().enumerate() {
             let live = index.filter(|index| !self.is_suspected(*index));
             if let Some(index) = live {
-                route.push(self.pool.agent(index), place < CANDIDATES);
+                route.push(self.ranked.agent(index), place < CANDIDATES);
             }
         }
         route
     }
 
-    /// Roster order; used when suspicion leaves no candidate to prefer.
-    fn in_order(&self, picks: &Picks) -> Route {
+    /// Lists all agents in order of rank, suspected or not.
+    ///
+    /// Used when every member that could be a candidate is suspected.
+    fn full_route(&self, selected: &Selected) -> Route {
         let mut route = Route::default();
-        for (place, index) in picks.iter().enumerate() {
+        for (place, index) in selected.iter().enumerate() {
             if let Some(index) = *index {
-                route.push(self.pool.agent(index), place < CANDIDATES);
+                route.push(self.ranked.agent(index), place < CANDIDATES);
             }
         }
         route
     }
 }
 
-// The third candidate gives way, because it owned the bucket under no known roster.
-fn replace_third(picks: &Picks, substitute: usize) -> [Option<usize>; PICKS] {
-    let mut replaced = *picks;
+// Replaces the third candidate, because it owned the bucket under no known roster.
+fn replace_third(selected: &Selected, substitute: usize) -> [Option<usize>; MAX_SELECTED] {
+    let mut replaced = *selected;
     replaced[CANDIDATES - 1] = Some(substitute);
     replaced
 }
--- a/crates/routing/tests/allocation.rs
+++ b/crates/routing/tests/allocation.rs
@@ -1,4 +1,4 @@
-//! Memory of the tables of a whole fleet, and allocations per packet.
+//! Memory used by the tables of a whole fleet, and allocations per packet.
 #![expect(
     unsafe_code,
     reason = "a counting allocator implements an unsafe trait"
@@ -15,43 +15,43 @@
 use usher_routing::{Forward, HintTable, Router};
 use usher_types::{Body, Packet, Sequence};
 
-static LIVE: AtomicUsize = AtomicUsize::new(0);
+static LIVE_BYTES: AtomicUsize = AtomicUsize::new(0);
 
 thread_local! {
-    // The test harness allocates on its own thread at any time.
-    static CALLS: Cell<usize> = const { Cell::new(0) };
+    // Counted per thread, because the test harness allocates on its own thread at any time.
+    static ALLOCATIONS: Cell<usize> = const { Cell::new(0) };
 }
 
-struct Counting;
+struct CountingAllocator;
 
-// SAFETY: every call is passed on unchanged to the system's allocator.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: every call is forwarded unchanged to the system allocator.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        LIVE.fetch_add(layout.size(), Ordering::Relaxed);
-        CALLS.set(CALLS.get() + 1);
+        LIVE_BYTES.fetch_add(layout.size(), Ordering::Relaxed);
+        ALLOCATIONS.set(ALLOCATIONS.get() + 1);
         // SAFETY: the caller keeps the contract of `alloc`.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
-        LIVE.fetch_sub(layout.size(), Ordering::Relaxed);
+        LIVE_BYTES.fetch_sub(layout.size(), Ordering::Relaxed);
         // SAFETY: the caller keeps the contract of `dealloc`.
         unsafe { System.dealloc(pointer, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 const SERVICES: usize = 35_000;
-const LIMIT: usize = 64 << 20;
+const MAX_BYTES: usize = 64 << 20;
 
-// The two checks share the counters, so they run in one test.
+// Both checks are in one test, because they share the counters.
 /// Guards against tables that do not fit beside the other control state in 128 MB, and against
 /// allocations on the packet path beyond the relay's route.
 #[test]
 fn a_fleet_of_tables_is_small_and_forwarding_allocates_only_the_route() {
-    let before = LIVE.load(Ordering::Relaxed);
+    let before = LIVE_BYTES.load(Ordering::Relaxed);
     // 34,996 services of 2 or 3 hosts and 4 of 300 make 97,000 hosts; three rosters each.
     let mut hosts = 0;
     let tables = (0..SERVICES).map(|service| {
@@ -67,13 +67,13 @@
         (agent(service), Arc::new(table(4_096, &rosters)))
     });
     let router = Router::new(tables);
-    let used = LIVE.load(Ordering::Relaxed) - before;
+    let used = LIVE_BYTES.load(Ordering::Relaxed) - before;
     println!(
         "{} services, {hosts} hosts: {} KiB",
         router.len(),
         used >> 10
     );
-    assert!(hosts >= 97_000 && used < LIMIT, "{used} bytes");
+    assert!(hosts >= 97_000 && used < MAX_BYTES, "{used} bytes");
 
     let mut hints = HintTable::new(1_000);
     let balancer = agent(99_999);
@@ -85,9 +85,9 @@
             sequence: Sequence::new(1),
             body: Body::Open,
         };
-        let calls = CALLS.get();
+        let allocations = ALLOCATIONS.get();
         let forward = router.forward(packet, &mut hints, balancer);
-        assert_eq!(CALLS.get() - calls, 1, "the route's vector");
+        assert_eq!(ALLOCATIONS.get() - allocations, 1, "the route's vector");
         assert!(matches!(forward, Forward::Send { .. }));
     }
 }
--- a/crates/routing/tests/properties.rs
+++ b/crates/routing/tests/properties.rs
@@ -57,8 +57,9 @@
         prop_assert!(share <= expected + spread + 0.02, "{share} of {expected}");
     }
 
-    /// Guards against a live owner that a route no longer reaches after two roster changes, and
-    /// against a suspected host that delays new flows while a live candidate is known.
+    /// Guards against routes that lose an unsuspected owner after two roster changes.
+    ///
+    /// Also guards against a suspected host that delays new flows while a live candidate is known.
     #[test]
     fn earlier_owners_stay_in_the_route(
         rosters in prop::collection::vec(some_members(1), 3),
@@ -107,7 +108,7 @@
         );
     }
 
-    /// Guards against a suspicion that moves the buckets of other hosts.
+    /// Guards against buckets of other hosts that move when a host becomes suspected.
     #[test]
     fn suspicion_changes_no_ownership(members in some_members(2), suspected in 0_usize..60) {
         let plain = table(256, &[roster(1, members)]);
@@ -166,7 +167,7 @@
         for (index, weight) in weights.iter().enumerate() {
             let expected = f64::from(*weight) / f64::from(total);
             let share = counts.get(&agent(index)).copied().unwrap_or_default();
-            // Buckets and flows both sample the share; small shares have a skewed distribution.
+            // The share is sampled by buckets and by flows; small shares have a skewed distribution.
             let samples = 1.0 / (1.0 / f64::from(BUCKETS) + 1.0 / f64::from(SAMPLES));
             let bound = 5.0 * (expected * (1.0 - expected) / samples).sqrt() + 10.0 / samples;
             prop_assert!((share - expected).abs() <= bound, "{share} of {expected}");
--- a/crates/routing/tests/router.rs
+++ b/crates/routing/tests/router.rs
@@ -35,7 +35,7 @@
     relay
 }
 
-/// Guards against a hinted packet that cannot fall back to the owner, or that loses an owner.
+/// Guards against a hinted route without the current owner, or without an earlier owner.
 #[test]
 fn a_hint_leads_and_the_owner_follows() {
     let mut rosters = [roster(3, 0..6), roster(2, 6..9), roster(1, 9..12)];
--- a/crates/routing/tests/routes.rs
+++ b/crates/routing/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Routes under suspicion, draining and roster changes, as `data/routes.json` lists them.
+//! Routes with suspected hosts, draining hosts and roster changes; cases in `data/routes.json`.
 
 mod common;
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// Guards against the failure that each row names, with precomputed and with ranked tables.
+/// Guards against each row's failure, with tables precomputed or ranked per packet.
 #[test]
 fn route_table_holds() {
     let rows: Vec<Row> = serde_json::from_str(include_str!("data/routes.json")).unwrap();
@@ -93,6 +93,7 @@
             assert!(later.agents().contains(&agent(0)));
         }
     }
-    // The draining member ranks first and a member of the start second: 1/6 times 3/5.
+    // Of 6 members, the draining one ranks first and one of the 3 other original members second:
+    // a share of 1/6 times 3/5, so about 200 of 2,000.
     assert!((150..250).contains(&owned), "{owned}");
 }
