--- a/crates/agent/src/action.rs
+++ b/crates/agent/src/action.rs
@@ -4,7 +4,7 @@
     FlowId, HostId, Message, Outcome, Packet, Payload, RequestId, RequestKey, Time, Version,
 };
 
-/// Output of an agent.
+/// Output of an agent: work for the runtime.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Sends a message to another process.
@@ -16,9 +16,9 @@
     },
     /// Sends a packet to its caller through the fabric.
     Packet(Packet),
-    /// A whole message from a caller; answered by `Event::Request` or `Event::Reply`.
+    /// Delivers a whole message from a caller; answered by `Event::Request` or `Event::Reply`.
     Deliver {
-        /// Where the message came in.
+        /// Identifies the flow and the message in it.
         id: RequestId,
         /// The whole message.
         bytes: Vec<u8>,
@@ -61,19 +61,19 @@
         /// The records.
         transfer: usher_dedupe::Transfer,
     },
-    /// Flows that were taken over from another agent.
+    /// Reports the flows that were taken over from another agent.
     TookFlows(Vec<FlowId>),
-    /// Records of a roster version were taken over from another agent.
+    /// Reports that records of a roster version were taken over from another agent.
     TookRecords(Version),
-    /// A view is in force.
+    /// Reports that the view of this configuration version is in force.
     InForce(Version),
-    /// Flows are handed over and requests are finished.
+    /// Reports that all flows are handed over and all requests are finished.
     Drained,
-    /// Dedupe records are kept by others.
+    /// Reports that other agents hold all dedupe records.
     RecordsDrained,
-    /// Raises a counter by one.
+    /// Increments a counter by one.
     Count {
-        /// Part of the agent that counts.
+        /// Component of the agent that counts.
         part: &'static str,
         /// Name of the counter.
         name: String,
--- a/crates/agent/src/agent_state.rs
+++ b/crates/agent/src/agent_state.rs
@@ -16,7 +16,7 @@
 use crate::peers::Peers;
 use crate::{Action, Event, Settings, Summary, View};
 
-/// Flows, requests and dedupe records of one host.
+/// State of one host's agent: flows, requests and dedupe records.
 ///
 /// ```
 /// use usher_agent::{AgentState, Event, Settings};
@@ -37,28 +37,29 @@
 pub struct AgentState {
     pub(crate) settings: Settings,
     pub(crate) view: Option<View>,
-    pub(crate) machines: Option<Machines>,
+    pub(crate) machines: Option<StateMachines>,
     pub(crate) peers: Peers,
     pub(crate) now: Time,
     pub(crate) out: Vec<Action>,
     pub(crate) flows_drained: bool,
     pub(crate) requests_drained: bool,
-    // Messages to this agent itself, for example to the key owner on the same host.
-    local: VecDeque<AgentMessage>,
+    // Messages that this agent sends to itself, for example when it owns the key of its own claim.
+    loopback: VecDeque<AgentMessage>,
 }
 
-// They exist once the service and its roster are known.
+/// State machines of the agent; created with the first view.
 #[derive(Debug)]
-pub(crate) struct Machines {
+pub(crate) struct StateMachines {
     pub(crate) flows: FlowTable,
     pub(crate) scheduler: Scheduler,
     pub(crate) ledger: Ledger,
     pub(crate) claimant: Claimant,
+    // The request that last claimed each key.
     pub(crate) claims: HashMap<RequestKey, RequestId>,
 }
 
 impl AgentState {
-    /// An agent without control state.
+    /// Creates an agent without control state.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -69,21 +70,23 @@
             out: Vec::new(),
             flows_drained: false,
             requests_drained: false,
-            local: VecDeque::new(),
+            loopback: VecDeque::new(),
         }
     }
 
-    /// Reacts to one event; `now` must be read after the event's message was received.
+    /// Handles one event and returns the resulting actions.
+    ///
+    /// `now` must be read after the event's message was received.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
         self.now = now;
         self.apply(event);
-        while let Some(message) = self.local.pop_front() {
+        while let Some(message) = self.loopback.pop_front() {
             self.on_agent_message(self.settings.address, message);
         }
         mem::take(&mut self.out)
     }
 
-    /// When the next `Event::Tick` is due.
+    /// Returns when the next `Event::Tick` is due.
     pub fn next_timer(&self) -> Option<Time> {
         let machines = self.machines.as_ref()?;
         let timers = [
@@ -95,7 +98,7 @@
         timers.into_iter().flatten().min()
     }
 
-    /// What the agent measures and holds; `None` before the first view.
+    /// Returns measurements and contents of the agent; `None` before the first view.
     pub fn summary(&self, now: Time) -> Option<Summary> {
         let machines = self.machines.as_ref()?;
         Some(Summary {
@@ -108,7 +111,7 @@
         })
     }
 
-    /// The view in force; `None` before the first one.
+    /// Returns the view in force; `None` before the first one.
     pub fn view(&self) -> Option<&View> {
         self.view.as_ref()
     }
@@ -117,37 +120,37 @@
         match event {
             Event::Message { from, message } => self.on_message(from, message),
             Event::View(view) => self.on_view(view),
-            Event::Request(request) => self.scheduler(admission::Event::Arrive(request)),
-            Event::Reply { id, bytes } => self.flows(flows::Event::Reply { id, bytes }),
+            Event::Request(request) => self.on_request_event(admission::Event::Arrive(request)),
+            Event::Reply { id, bytes } => self.on_flow_event(flows::Event::Reply { id, bytes }),
             Event::Finished { id, outcome } => {
-                self.scheduler(admission::Event::Finished { id, outcome });
+                self.on_request_event(admission::Event::Finished { id, outcome });
             }
-            Event::Refused(id) => self.scheduler(admission::Event::Refused { id }),
-            Event::Lost(id) => self.scheduler(admission::Event::Lost { id }),
+            Event::Refused(id) => self.on_request_event(admission::Event::Refused { id }),
+            Event::Lost(id) => self.on_request_event(admission::Event::Lost { id }),
             Event::Slots(slots) => {
                 self.settings.slots = slots;
-                self.scheduler(admission::Event::Slots(slots));
+                self.on_request_event(admission::Event::Slots(slots));
             }
-            Event::Cancel(id) => self.scheduler(admission::Event::Cancel { id }),
-            Event::TakeFlows(transfer) => self.flows(flows::Event::Handover(transfer)),
-            Event::TakeRecords(transfer) => self.ledger(LedgerEvent::Takeover(transfer)),
+            Event::Cancel(id) => self.on_request_event(admission::Event::Cancel { id }),
+            Event::TakeFlows(transfer) => self.on_flow_event(flows::Event::Handover(transfer)),
+            Event::TakeRecords(transfer) => self.on_ledger_event(LedgerEvent::Takeover(transfer)),
             Event::FlowsTaken {
                 to,
                 flows: Some(flows),
             } => {
-                self.flows(flows::Event::HandedOver { to, flows });
+                self.on_flow_event(flows::Event::HandedOver { to, flows });
             }
             Event::FlowsTaken { to, flows: None } => {
-                self.flows(flows::Event::HandoverFailed { to });
+                self.on_flow_event(flows::Event::HandoverFailed { to });
             }
             Event::RecordsTaken { from, roster } => {
-                self.ledger(LedgerEvent::TakeoverAcked { from, roster });
+                self.on_ledger_event(LedgerEvent::TakeoverAcked { from, roster });
             }
             Event::Drain => {
-                self.scheduler(admission::Event::Drain);
-                self.flows(flows::Event::Drain);
+                self.on_request_event(admission::Event::Drain);
+                self.on_flow_event(flows::Event::Drain);
             }
-            Event::Leave => self.ledger(LedgerEvent::Drain),
+            Event::Leave => self.on_ledger_event(LedgerEvent::Drain),
             Event::Tick => self.tick(),
         }
     }
@@ -162,37 +165,37 @@
         let ledger = is_due(machines.ledger.next_timer());
         let claimant = is_due(machines.claimant.next_timer());
         if flows {
-            self.flows(flows::Event::Tick);
+            self.on_flow_event(flows::Event::Tick);
         }
         if scheduler {
-            self.scheduler(admission::Event::Tick);
+            self.on_request_event(admission::Event::Tick);
         }
         if ledger {
-            self.ledger(LedgerEvent::Tick);
+            self.on_ledger_event(LedgerEvent::Tick);
         }
         if claimant {
-            self.claimant(ClaimantEvent::Tick);
+            self.on_claimant_event(ClaimantEvent::Tick);
         }
     }
 
     fn on_view(&mut self, view: View) {
         if self.machines.is_none() {
-            self.machines = Some(self.machines_for(&view));
+            self.machines = Some(self.create_machines(&view));
         }
         let roster = Arc::clone(&view.roster);
         let revision = view.revision;
-        self.scheduler(admission::Event::Profile(Arc::clone(&view.profile)));
+        self.on_request_event(admission::Event::Profile(Arc::clone(&view.profile)));
         self.peers.retain(&roster);
-        self.flows(flows::Event::Generation(view.generation));
+        self.on_flow_event(flows::Event::Generation(view.generation));
         self.view = Some(view);
-        self.flows(flows::Event::Roster(Arc::clone(&roster)));
-        self.claimant(ClaimantEvent::Roster(Arc::clone(&roster)));
-        self.ledger(LedgerEvent::Roster(lineage(&roster)));
-        self.note_adoption();
+        self.on_flow_event(flows::Event::Roster(Arc::clone(&roster)));
+        self.on_claimant_event(ClaimantEvent::Roster(Arc::clone(&roster)));
+        self.on_ledger_event(LedgerEvent::Roster(lineage(&roster)));
+        self.report_adoption();
         self.out.push(Action::InForce(revision));
     }
 
-    fn machines_for(&self, view: &View) -> Machines {
+    fn create_machines(&self, view: &View) -> StateMachines {
         let Settings {
             host,
             incarnation,
@@ -213,7 +216,7 @@
         } else {
             Origin::Joined
         };
-        Machines {
+        StateMachines {
             flows: FlowTable::new(settings),
             scheduler: Scheduler::new(profile, slots, policy, address),
             ledger: Ledger::new(agent.clone(), origin),
@@ -243,49 +246,56 @@
         }
     }
 
-    // The choice of a host for a new flow needs the current wait.
+    // The flow table needs the current wait to choose a host for a new flow.
     fn on_relay(&mut self, relay: Relay) {
         if relay.packet.body == Body::Open
             && let Some(machines) = &self.machines
         {
             let wait = machines.scheduler.wait(self.now);
-            self.flows(flows::Event::Wait(wait));
+            self.on_flow_event(flows::Event::Wait(wait));
         }
-        self.flows(flows::Event::Relay(relay));
+        self.on_flow_event(flows::Event::Relay(relay));
     }
 
     fn on_agent_message(&mut self, from: SocketAddrV4, message: AgentMessage) {
         match message {
             AgentMessage::Register(register) => {
-                self.flows(flows::Event::Register { from, register });
+                self.on_flow_event(flows::Event::Register { from, register });
             }
             AgentMessage::Registered(registered) => {
-                self.flows(flows::Event::Registered { from, registered });
+                self.on_flow_event(flows::Event::Registered { from, registered });
             }
-            AgentMessage::Claim(claim) => self.ledger(LedgerEvent::Claim(claim)),
-            AgentMessage::Verdict(verdict) => self.claimant(ClaimantEvent::Verdict(verdict)),
-            AgentMessage::Complete(complete) => self.ledger(LedgerEvent::Complete(complete)),
-            AgentMessage::Completed(done) => self.claimant(ClaimantEvent::Completed(done)),
+            AgentMessage::Claim(claim) => self.on_ledger_event(LedgerEvent::Claim(claim)),
+            AgentMessage::Verdict(verdict) => {
+                self.on_claimant_event(ClaimantEvent::Verdict(verdict));
+            }
+            AgentMessage::Complete(complete) => {
+                self.on_ledger_event(LedgerEvent::Complete(complete));
+            }
+            AgentMessage::Completed(done) => self.on_claimant_event(ClaimantEvent::Completed(done)),
             AgentMessage::Offer(offer) => self.on_offer(offer),
             AgentMessage::OfferReply(reply) => {
-                self.scheduler(admission::Event::OfferReply { from, reply });
+                self.on_request_event(admission::Event::OfferReply { from, reply });
             }
             AgentMessage::OfferOutcome(outcome) => {
-                self.scheduler(admission::Event::OfferOutcome(outcome));
+                self.on_request_event(admission::Event::OfferOutcome(outcome));
+            }
+            AgentMessage::OfferDone(done) => {
+                self.on_request_event(admission::Event::OfferDone(done));
             }
-            AgentMessage::OfferDone(done) => self.scheduler(admission::Event::OfferDone(done)),
         }
     }
 
-    // An offer may arrive as late as any packet, and the age of a claim must not be understated.
+    // An offer may have been in the network for a packet's whole lifetime; the age that a claim
+    // carries must not be too low.
     fn on_offer(&mut self, mut offer: Offer) {
         offer.age = offer.age + PACKET_LIFETIME;
-        self.scheduler(admission::Event::Offered(offer));
+        self.on_request_event(admission::Event::Offered(offer));
     }
 
     pub(crate) fn send(&mut self, to: SocketAddrV4, message: AgentMessage) {
         if to == self.settings.address {
-            self.local.push_back(message);
+            self.loopback.push_back(message);
             return;
         }
         let Some(view) = &self.view else { return };
@@ -305,7 +315,7 @@
         });
     }
 
-    pub(crate) fn check_drained(&mut self) {
+    pub(crate) fn report_drained(&mut self) {
         if self.flows_drained && self.requests_drained {
             self.out.push(Action::Drained);
         }
@@ -319,7 +329,7 @@
         .map(PastRoster::to_roster)
         .map(Arc::new)
         .collect();
-    // Every writer of a roster keeps the earlier ones that are not settled.
+    // The lineage is complete: every writer of a roster keeps the earlier ones that are not settled.
     Lineage {
         roster: Arc::clone(roster),
         earlier,
--- a/crates/agent/src/event.rs
+++ b/crates/agent/src/event.rs
@@ -4,7 +4,7 @@
 
 use crate::View;
 
-/// Input of an agent.
+/// Input of an agent from the runtime.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// A message from another process.
@@ -16,11 +16,11 @@
     },
     /// New control state.
     View(View),
-    /// A delivered message was read as a request.
+    /// A delivered message was parsed as a request.
     Request(Request),
-    /// The text of an answer to a delivered message is ready to be sent.
+    /// The encoded answer to a delivered message is ready to be sent.
     Reply {
-        /// Where the message came in.
+        /// Identifies the flow and the message in it.
         id: RequestId,
         /// The whole answer.
         bytes: Vec<u8>,
@@ -32,13 +32,13 @@
         /// The answer.
         outcome: Outcome,
     },
-    /// The backend server definitely did not start a run.
+    /// A run certainly did not start on the backend server.
     Refused(RequestId),
-    /// A run may have taken place, but its answer is lost.
+    /// The answer of a run is lost; the run may have taken place.
     Lost(RequestId),
-    /// The number of slots of the backend server changed; none while it cannot be reached.
+    /// The backend server's number of slots changed; 0 while it cannot be reached.
     Slots(Slots),
-    /// The caller no longer waits.
+    /// The caller no longer waits for the answer.
     Cancel(RequestId),
     /// Another agent hands over flows; answered by `Action::TookFlows`.
     TakeFlows(usher_flows::Transfer),
@@ -58,10 +58,10 @@
         /// Roster version of the records.
         roster: Version,
     },
-    /// A drain begins: no new work, flows move to other hosts.
+    /// A drain begins: no new work is accepted, flows are handed to other hosts.
     Drain,
     /// The process is about to leave the roster.
     Leave,
-    /// The time of `next_timer` has come.
+    /// The time returned by `next_timer` has come.
     Tick,
 }
--- a/crates/agent/src/flow_actions.rs
+++ b/crates/agent/src/flow_actions.rs
@@ -4,7 +4,7 @@
 use crate::{Action, AgentState};
 
 impl AgentState {
-    pub(crate) fn flows(&mut self, event: FlowEvent) {
+    pub(crate) fn on_flow_event(&mut self, event: FlowEvent) {
         let Some(machines) = &mut self.machines else {
             return;
         };
@@ -41,7 +41,7 @@
             FlowAction::TookOver { flows } => self.out.push(Action::TookFlows(flows)),
             FlowAction::Drained => {
                 self.flows_drained = true;
-                self.check_drained();
+                self.report_drained();
             }
             FlowAction::Count(counter) => self.count("flows", &counter),
         }
--- a/crates/agent/src/key_actions.rs
+++ b/crates/agent/src/key_actions.rs
@@ -5,7 +5,7 @@
 use crate::{Action, AgentState};
 
 impl AgentState {
-    pub(crate) fn claimant(&mut self, event: ClaimantEvent) {
+    pub(crate) fn on_claimant_event(&mut self, event: ClaimantEvent) {
         let Some(machines) = &mut self.machines else {
             return;
         };
@@ -21,25 +21,25 @@
                 self.send(to, AgentMessage::Complete(complete));
             }
             ClaimantAction::Permit { key, start_by } => {
-                self.settle(key, |id| RequestEvent::Permit { id, start_by });
+                self.resolve(key, |id| RequestEvent::Permit { id, start_by });
             }
             ClaimantAction::Settled { key, outcome } => {
-                self.settle(key, |id| RequestEvent::Settled { id, outcome });
+                self.resolve(key, |id| RequestEvent::Settled { id, outcome });
             }
-            ClaimantAction::Denied { key } => self.settle(key, |id| RequestEvent::Denied { id }),
+            ClaimantAction::Denied { key } => self.resolve(key, |id| RequestEvent::Denied { id }),
             ClaimantAction::Running { .. } => {}
         }
     }
 
-    // The claim's answer goes to the request that asked last under this key.
-    fn settle(&mut self, key: RequestKey, event: impl FnOnce(RequestId) -> RequestEvent) {
+    // Passes the answer to a claim to the request that last claimed this key.
+    fn resolve(&mut self, key: RequestKey, event: impl FnOnce(RequestId) -> RequestEvent) {
         let claims = self.machines.as_mut().map(|machines| &mut machines.claims);
         if let Some(id) = claims.and_then(|claims| claims.remove(&key)) {
-            self.scheduler(event(id));
+            self.on_request_event(event(id));
         }
     }
 
-    pub(crate) fn ledger(&mut self, event: LedgerEvent) {
+    pub(crate) fn on_ledger_event(&mut self, event: LedgerEvent) {
         let Some(machines) = &mut self.machines else {
             return;
         };
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,6 +1,6 @@
-//! The agent of one host without I/O: joins flows, scheduler, ledger and claimant.
+//! The agent of one host, without I/O: connects flow table, scheduler, ledger and claimant.
 //!
-//! The runtime feeds typed events in and carries the actions out; scenarios do the same in virtual
+//! The runtime passes in events and executes the returned actions; scenarios do the same in virtual
 //! time.
 
 mod action;
--- a/crates/agent/src/peers.rs
+++ b/crates/agent/src/peers.rs
@@ -8,16 +8,18 @@
 
 use crate::AgentState;
 
-/// What heartbeats say of the other agents of the service.
+/// State of the service's other agents, as heartbeats report it.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
+    // Newest roster version that each host has adopted.
     adopted: HashMap<HostId, Version>,
-    // Ordered, so that equal waits give the same choice in every run.
+    // Reported wait of each serving agent; ordered, so that the choice between equal waits is the
+    // same in every run.
     waits: BTreeMap<SocketAddrV4, Span>,
 }
 
 impl Peers {
-    /// Discards agents that a roster no longer lists.
+    /// Removes the state of hosts and agents that the roster no longer lists.
     pub(crate) fn retain(&mut self, roster: &Roster) {
         self.adopted
             .retain(|host, _| roster.members.contains_key(host));
@@ -39,7 +41,7 @@
         if !view.roster.members.contains_key(host) {
             return;
         }
-        self.adopt(host.clone(), beat.roster);
+        self.record_adoption(host.clone(), beat.roster);
         if beat.state == HostState::Serving {
             self.peers.waits.insert(from, beat.wait);
         } else {
@@ -51,30 +53,30 @@
             .iter()
             .map(|(agent, wait)| (*agent, *wait))
             .collect();
-        self.scheduler(RequestEvent::Peers(waits));
+        self.on_request_event(RequestEvent::Peers(waits));
     }
 
     pub(crate) fn on_beat_ack(&mut self, ack: BeatAck) {
         if let Peer::Host(host) = &ack.from {
-            self.adopt(host.clone(), ack.roster);
+            self.record_adoption(host.clone(), ack.roster);
         }
-        self.ledger(LedgerEvent::Ack(ack));
+        self.on_ledger_event(LedgerEvent::Ack(ack));
     }
 
-    fn adopt(&mut self, host: HostId, roster: Version) {
-        self.ledger(LedgerEvent::Adopted {
+    fn record_adoption(&mut self, host: HostId, roster: Version) {
+        self.on_ledger_event(LedgerEvent::Adopted {
             host: host.clone(),
             roster,
         });
         let known = self.peers.adopted.entry(host).or_default();
         if *known < roster {
             *known = roster;
-            self.note_adoption();
+            self.report_adoption();
         }
     }
 
     /// Tells the flow table when every member has adopted the current roster.
-    pub(crate) fn note_adoption(&mut self) {
+    pub(crate) fn report_adoption(&mut self) {
         let Some(view) = &self.view else { return };
         let roster = &view.roster;
         let mut others = roster
@@ -83,7 +85,7 @@
             .filter(|host| **host != self.settings.host);
         if others.all(|host| self.peers.has_adopted(host, roster.version)) {
             let version = roster.version;
-            self.flows(FlowEvent::Adopted(version));
+            self.on_flow_event(FlowEvent::Adopted(version));
         }
     }
 }
--- a/crates/agent/src/request_actions.rs
+++ b/crates/agent/src/request_actions.rs
@@ -5,7 +5,7 @@
 use crate::{Action, AgentState};
 
 impl AgentState {
-    pub(crate) fn scheduler(&mut self, event: RequestEvent) {
+    pub(crate) fn on_request_event(&mut self, event: RequestEvent) {
         let Some(machines) = &mut self.machines else {
             return;
         };
@@ -26,7 +26,7 @@
                 if let Some(machines) = &mut self.machines {
                     machines.claims.insert(key, id);
                 }
-                self.claimant(ClaimantEvent::Ask {
+                self.on_claimant_event(ClaimantEvent::Ask {
                     key,
                     attempt,
                     age,
@@ -53,7 +53,7 @@
             RequestAction::CancelRun { id } => self.out.push(Action::CancelRun(id)),
             RequestAction::Reply { id, outcome } => self.out.push(Action::Answer { id, outcome }),
             RequestAction::Complete { key, outcome } => {
-                self.claimant(ClaimantEvent::Report { key, outcome });
+                self.on_claimant_event(ClaimantEvent::Report { key, outcome });
             }
             RequestAction::Offer { to, offer } => self.send(to, AgentMessage::Offer(offer)),
             RequestAction::OfferReply { to, reply } => {
@@ -65,7 +65,7 @@
             RequestAction::OfferDone { to, done } => self.send(to, AgentMessage::OfferDone(done)),
             RequestAction::Drained => {
                 self.requests_drained = true;
-                self.check_drained();
+                self.report_drained();
             }
             RequestAction::Count(counter) => self.count("requests", &counter),
         }
--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -8,13 +8,13 @@
 pub struct Settings {
     /// Host that the agent runs on.
     pub host: HostId,
-    /// Tells successive processes on the host apart.
+    /// Distinguishes successive processes on the host.
     pub incarnation: Incarnation,
-    /// Service of the backend server.
+    /// Service that the backend server belongs to.
     pub service: ServiceName,
     /// UDP address of the agent.
     pub address: SocketAddrV4,
-    /// Requests that the backend server runs at the same time.
+    /// Number of requests that the backend server runs at the same time.
     pub slots: Slots,
     /// Scheduling policy.
     pub policy: Policy,
--- a/crates/agent/src/summary.rs
+++ b/crates/agent/src/summary.rs
@@ -1,18 +1,18 @@
 use usher_types::{HostId, Span, Version, Weight};
 
-/// What an agent measures and holds at one time.
+/// Measurements and contents of an agent at one time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Summary {
     /// Open flows.
     pub flows: usize,
-    /// Wait that a short request arriving now is estimated to have.
+    /// Estimated wait of a short request that arrives now.
     pub wait: Span,
-    /// Measured strength of the backend server.
+    /// Weight of the backend server, from its measured capacity.
     pub weight: Weight,
     /// Dedupe records.
     pub records: usize,
     /// Earlier rosters that may have an active owner.
     pub unsettled: Vec<Version>,
-    /// Hosts that have not taken over their records yet.
+    /// Hosts that have not yet taken over the records handed to them.
     pub awaiting: Vec<HostId>,
 }
--- a/crates/agent/src/view.rs
+++ b/crates/agent/src/view.rs
@@ -2,7 +2,7 @@
 
 use usher_types::{Generation, Profile, Roster, Version};
 
-/// Control state that an agent works by; immutable.
+/// Control state that an agent acts on; immutable.
 #[derive(Debug, Clone, PartialEq)]
 pub struct View {
     /// Generation of the service's address.
@@ -11,8 +11,8 @@
     pub profile: Arc<Profile>,
     /// Roster of the service.
     pub roster: Arc<Roster>,
-    /// Configuration version that the view stands for.
+    /// Configuration version that the view was built from.
     pub revision: Version,
-    /// This process wrote the service's first roster.
+    /// Whether this process wrote the service's first roster.
     pub created: bool,
 }
