--- a/crates/scenario/src/agent_node.rs
+++ b/crates/scenario/src/agent_node.rs
@@ -15,14 +15,15 @@
 };
 use usher_wire::{RequestMessage, ResponseMessage};
 
-use crate::backend::Order;
-use crate::effect::{Content, Effect, Taken, Transfers};
+use crate::backend::RunRequest;
+use crate::effect::{Content, Effect, HandoverReply, HandoverRequest};
 
-const REPORT: Span = Span::from_millis(500);
-// Packets on their way to this agent are passed on for this long after it has left the roster.
-const LINGER: Span = Span::from_secs(2);
+// Interval at which the agent's load is passed on to membership.
+const REPORT_INTERVAL: Span = Span::from_millis(500);
+// After it has left the roster, an agent still forwards packets that are sent to it for this long.
+const FORWARDING_TIME: Span = Span::from_secs(2);
 
-// Where a planned stop stands.
+// Progress of a drain or a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
     Running,
@@ -31,7 +32,7 @@
     Left { since: Time },
 }
 
-/// An agent wired as the runtime wires it, without threads and sockets.
+/// Agent assembled from the decision crates as in the real process, without threads and sockets.
 #[derive(Debug)]
 pub(crate) struct AgentNode {
     pub(crate) settings: Settings,
@@ -42,13 +43,16 @@
     membership: Membership,
     centre: DataCentre,
     status: Status,
+    // Earlier rosters that may still have an active key owner; `None` before the first report.
     unsettled: Option<Vec<Version>>,
+    // This process wrote the first roster of the service.
     created: bool,
+    // This process has been in the roster.
     was_member: bool,
     records_drained: bool,
     phase: Phase,
     next_report: Time,
-    // JSON-RPC ids of the requests that wait for an answer.
+    // JSON-RPC ids of unanswered requests.
     ids: HashMap<RequestId, Value>,
 }
 
@@ -85,55 +89,55 @@
             weight: Weight::NOMINAL,
             state: HostState::Serving,
         };
-        node.advance(now, MemberEvent::Join(member));
+        node.update_membership(now, MemberEvent::Join(member));
         node
     }
 
-    /// Revision in force; `None` while this process is no member.
+    /// Configuration revision in force; `None` while this process is not a serving member.
     pub(crate) fn revision(&self) -> Option<Version> {
         let serves = self.was_member && self.phase == Phase::Running;
         serves.then_some(self.status.revision)
     }
 
     pub(crate) fn is_finished(&self, now: Time) -> bool {
-        matches!(self.phase, Phase::Left { since } if now - since >= LINGER)
+        matches!(self.phase, Phase::Left { since } if now - since >= FORWARDING_TIME)
     }
 
     pub(crate) fn next_timer(&self) -> Time {
         let timers = [self.membership.next_timer(), self.agent.next_timer()];
-        let left = match self.phase {
-            Phase::Left { since } => Some(since + LINGER),
+        let finish = match self.phase {
+            Phase::Left { since } => Some(since + FORWARDING_TIME),
             _ => None,
         };
-        let timers = timers.into_iter().chain([left]).flatten();
+        let timers = timers.into_iter().chain([finish]).flatten();
         timers.fold(self.next_report, Time::min)
     }
 
     pub(crate) fn tick(&mut self, now: Time) {
         if self.membership.next_timer().is_some_and(|due| due <= now) {
-            self.advance(now, MemberEvent::Tick);
+            self.update_membership(now, MemberEvent::Tick);
         }
         if self.agent.next_timer().is_some_and(|due| due <= now) {
-            self.feed(now, Event::Tick);
+            self.handle_event(now, Event::Tick);
         }
         if now >= self.next_report {
-            self.next_report = now + REPORT;
-            self.report(now);
+            self.next_report = now + REPORT_INTERVAL;
+            self.report_status(now);
         }
     }
 
-    // Tells membership what the heartbeats are to carry.
-    fn report(&mut self, now: Time) {
+    // Passes on the status that membership sends in its heartbeats.
+    fn report_status(&mut self, now: Time) {
         let Some(summary) = self.agent.summary(now) else {
             return;
         };
         self.unsettled = Some(summary.unsettled);
         self.status.wait = summary.wait;
         self.status.weight = summary.weight;
-        self.advance(now, MemberEvent::Status(self.status));
+        self.update_membership(now, MemberEvent::Status(self.status));
     }
 
-    pub(crate) fn objects(
+    pub(crate) fn adopt_objects(
         &mut self,
         now: Time,
         after: Version,
@@ -145,26 +149,26 @@
         }
     }
 
-    pub(crate) fn store(&mut self, now: Time, up: bool) {
+    pub(crate) fn set_store_up(&mut self, now: Time, up: bool) {
         let event = if up {
             MemberEvent::StoreUp
         } else {
             MemberEvent::StoreDown
         };
-        self.advance(now, event);
+        self.update_membership(now, event);
     }
 
-    // Heartbeats concern membership and, as lease renewals, the agent.
-    pub(crate) fn message(&mut self, now: Time, from: SocketAddrV4, message: Message) {
+    // Heartbeats go to membership and also to the agent, as they renew leases.
+    pub(crate) fn handle_message(&mut self, now: Time, from: SocketAddrV4, message: Message) {
         match &message {
             Message::Beat(beat) => {
                 let beat = beat.clone();
-                self.advance(now, MemberEvent::Beat { source: from, beat });
+                self.update_membership(now, MemberEvent::Beat { source: from, beat });
             }
-            Message::BeatAck(ack) => self.advance(now, MemberEvent::BeatAck(ack.clone())),
+            Message::BeatAck(ack) => self.update_membership(now, MemberEvent::BeatAck(ack.clone())),
             _ => {}
         }
-        self.feed(now, Event::Message { from, message });
+        self.handle_event(now, Event::Message { from, message });
     }
 
     pub(crate) fn begin_drain(&mut self, now: Time, stop: bool) {
@@ -173,53 +177,57 @@
             return;
         }
         self.phase = Phase::Draining { stop };
-        self.advance(now, MemberEvent::Drain);
-        self.feed(now, Event::Drain);
+        self.update_membership(now, MemberEvent::Drain);
+        self.handle_event(now, Event::Drain);
     }
 
-    /// The conditional write of a roster succeeded.
-    pub(crate) fn written(&mut self, roster: &Roster) {
+    /// Handles the success of a conditional roster write.
+    pub(crate) fn roster_written(&mut self, roster: &Roster) {
         let is_first = roster.earlier.is_empty() && roster.members.len() == 1;
         self.created |= is_first && roster.members.contains_key(&self.settings.host);
     }
 
-    /// Takes state over from another agent, if it is of the same service.
-    pub(crate) fn take_over(&mut self, now: Time, transfers: Transfers) -> Option<Taken> {
+    /// Takes over state from another agent of the same service; otherwise returns `None`.
+    pub(crate) fn take_over(
+        &mut self,
+        now: Time,
+        handover: HandoverRequest,
+    ) -> Option<HandoverReply> {
         let own = self.cache.service(&self.settings.service);
-        let is_current = own.is_some_and(|entry| transfers.generation >= entry.generation);
-        if transfers.service != self.settings.service || !is_current {
+        let is_current = own.is_some_and(|entry| handover.generation >= entry.generation);
+        if handover.service != self.settings.service || !is_current {
             return None;
         }
-        let event = match transfers.content {
+        let event = match handover.content {
             Content::Flows(transfer) => Event::TakeFlows(transfer),
             Content::Records(transfer) => Event::TakeRecords(transfer),
         };
-        let mut taken = None;
+        let mut reply = None;
         for action in self.agent.handle(now, event) {
             match action {
-                Action::TookFlows(flows) => taken = Some(Taken::Flows(flows)),
-                Action::TookRecords(roster) => taken = Some(Taken::Records(roster)),
-                action => self.act(now, action),
+                Action::TookFlows(flows) => reply = Some(HandoverReply::Flows(flows)),
+                Action::TookRecords(roster) => reply = Some(HandoverReply::Records(roster)),
+                action => self.execute(now, action),
             }
         }
-        taken
+        reply
     }
 
-    pub(crate) fn feed(&mut self, now: Time, event: Event) {
+    pub(crate) fn handle_event(&mut self, now: Time, event: Event) {
         for action in self.agent.handle(now, event) {
-            self.act(now, action);
+            self.execute(now, action);
         }
     }
 
-    fn act(&mut self, now: Time, action: Action) {
+    fn execute(&mut self, now: Time, action: Action) {
         match action {
             Action::Send { to, message } => self.effects.push(Effect::Send { to, message }),
             Action::Packet(packet) => self.effects.push(Effect::Packet(packet)),
             Action::Deliver { id, bytes } => self.deliver(now, id, &bytes),
             Action::Answer { id, outcome } => {
-                let number = self.ids.remove(&id).unwrap_or_default();
-                let bytes = encode(number, outcome);
-                self.feed(now, Event::Reply { id, bytes });
+                let rpc_id = self.ids.remove(&id).unwrap_or_default();
+                let bytes = encode(rpc_id, outcome);
+                self.handle_event(now, Event::Reply { id, bytes });
             }
             Action::Run {
                 id,
@@ -228,7 +236,7 @@
                 start_by,
                 ..
             } => {
-                self.effects.push(Effect::Run(Order {
+                self.effects.push(Effect::Run(RunRequest {
                     id,
                     key,
                     body,
@@ -238,7 +246,7 @@
             Action::CancelRun(id) => self.effects.push(Effect::CancelRun(id)),
             Action::HandOverFlows { to, transfer } => {
                 if !self.hand_over(&to, Content::Flows(transfer)) {
-                    self.feed(now, Event::FlowsTaken { to, flows: None });
+                    self.handle_event(now, Event::FlowsTaken { to, flows: None });
                 }
             }
             Action::HandOverRecords { to, transfer } => {
@@ -247,7 +255,7 @@
             Action::TookFlows(_) | Action::TookRecords(_) => {}
             Action::InForce(revision) => {
                 self.status.revision = revision;
-                self.advance(now, MemberEvent::Status(self.status));
+                self.update_membership(now, MemberEvent::Status(self.status));
             }
             Action::Drained => self.on_drained(now),
             Action::RecordsDrained => {
@@ -264,7 +272,7 @@
         let Some(view) = self.agent.view() else {
             return false;
         };
-        let transfers = Transfers {
+        let handover = HandoverRequest {
             service: self.settings.service.clone(),
             generation: view.generation,
             content,
@@ -272,7 +280,7 @@
         let listed = view.roster.members.contains_key(to);
         if listed {
             let to = to.clone();
-            self.effects.push(Effect::HandOver { to, transfers });
+            self.effects.push(Effect::HandOver { to, handover });
         }
         listed
     }
@@ -281,19 +289,19 @@
         let Some(view) = self.agent.view() else {
             return;
         };
-        if let Some((request, number)) = parse(now, &view.profile, id, bytes) {
-            self.ids.insert(id, number);
-            return self.feed(now, Event::Request(request));
+        if let Some((request, rpc_id)) = parse(now, &view.profile, id, bytes) {
+            self.ids.insert(id, rpc_id);
+            return self.handle_event(now, Event::Request(request));
         }
         let outcome = Outcome::NotRun {
             refusal: Refusal::Invalid,
             retry: Span::ZERO,
         };
         let bytes = encode(Value::Null, outcome);
-        self.feed(now, Event::Reply { id, bytes });
+        self.handle_event(now, Event::Reply { id, bytes });
     }
 
-    fn advance(&mut self, now: Time, event: MemberEvent) {
+    fn update_membership(&mut self, now: Time, event: MemberEvent) {
         for action in self.membership.handle(now, event) {
             match action {
                 MemberAction::Beat { to, beat } => {
@@ -314,22 +322,22 @@
         }
     }
 
-    // Gives the current configuration to membership and to the agent.
+    // Applies the cached configuration to membership and to the agent.
     fn apply(&mut self, now: Time) {
         let service = self.settings.service.clone();
         let centre = self.centre.clone();
         if let Some(fleet) = self.cache.fleet(centre.as_str()) {
-            self.advance(now, MemberEvent::Fleet { centre, fleet });
+            self.update_membership(now, MemberEvent::Fleet { centre, fleet });
         }
         let roster = self.cache.roster(&service).unwrap_or_default();
         if let Some(view) = self.view(&roster) {
-            self.feed(now, Event::View(view));
+            self.handle_event(now, Event::View(view));
         }
-        self.advance(now, MemberEvent::Roster { service, roster });
+        self.update_membership(now, MemberEvent::Roster { service, roster });
         self.check_left(now);
     }
 
-    // A process that has left still needs the roster that replaced it, to hand its records over.
+    // A process that has left the roster still needs the new roster, to hand its records over.
     fn view(&mut self, roster: &Arc<Roster>) -> Option<View> {
         let entry = self.cache.service(&self.settings.service)?;
         let profile = self.cache.profile(&entry.profile)?;
@@ -348,7 +356,7 @@
         own.is_some_and(|member| member.incarnation == self.settings.incarnation)
     }
 
-    // A planned stop ends when the roster no longer lists this agent and its records are kept by others.
+    // A planned stop ends when the roster no longer lists this agent and others keep its records.
     fn check_left(&mut self, now: Time) {
         let roster = self
             .cache
@@ -362,8 +370,8 @@
     fn on_drained(&mut self, now: Time) {
         if self.phase == (Phase::Draining { stop: true }) {
             self.phase = Phase::Leaving;
-            self.feed(now, Event::Leave);
-            self.advance(now, MemberEvent::Leave);
+            self.handle_event(now, Event::Leave);
+            self.update_membership(now, MemberEvent::Leave);
         }
     }
 }
@@ -372,12 +380,12 @@
     let message = RequestMessage::decode(bytes).ok()?;
     let meta = message.meta;
     let rule = profile.methods.get(&message.method);
-    let left = meta.deadline_ms.map_or(profile.deadline, Span::from_millis);
+    let remaining = meta.deadline_ms.map_or(profile.deadline, Span::from_millis);
     let request = Request {
         id,
         key: meta.key,
         once: meta.once,
-        deadline: now + left,
+        deadline: now + remaining,
         attempt: meta.attempt,
         age: Span::from_millis(meta.age_ms),
         budget: profile.attempts,
--- a/crates/scenario/src/backend.rs
+++ b/crates/scenario/src/backend.rs
@@ -5,24 +5,24 @@
 
 use crate::fault::BackendMode;
 
-/// A run as an agent asks its backend server for it.
+/// Request of an agent that its backend server run a caller's request.
 #[derive(Debug, Clone)]
-pub(crate) struct Order {
+pub(crate) struct RunRequest {
     pub(crate) id: RequestId,
     pub(crate) key: RequestKey,
     pub(crate) body: Payload,
     pub(crate) start_by: Time,
 }
 
-/// What a backend server does with an order.
+/// Response of a backend server to a run request.
 #[derive(Debug)]
-pub(crate) enum Start {
+pub(crate) enum StartResult {
     Refused,
     Failed(Outcome),
     Running(Span),
 }
 
-/// A backend server: slots, start deadlines and answers that name their request.
+/// Fake backend server with slots, start deadlines and answers that name their request.
 #[derive(Debug)]
 pub(crate) struct Backend {
     pub(crate) service: ServiceName,
@@ -45,18 +45,18 @@
         }
     }
 
-    /// Takes an order at `now` on the host's clock.
-    pub(crate) fn start(&mut self, now: Time, order: &Order) -> Start {
+    /// Starts a run if a slot is free and its start deadline, on the host's clock, has not passed.
+    pub(crate) fn start(&mut self, now: Time, request: &RunRequest) -> StartResult {
         self.calls += 1;
-        if self.mode == BackendMode::Down || now > order.start_by || self.busy >= self.slots {
-            return Start::Refused;
+        if self.mode == BackendMode::Down || now > request.start_by || self.busy >= self.slots {
+            return StartResult::Refused;
         }
         if self.mode == BackendMode::Fails {
-            return Start::Failed(Outcome::Failed(Payload::from(b"{}".as_slice())));
+            return StartResult::Failed(Outcome::Failed(Payload::from(b"{}".as_slice())));
         }
         self.busy += 1;
-        let body: Value = serde_json::from_slice(&order.body).unwrap_or_default();
-        Start::Running(Span::from_micros(
+        let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
+        StartResult::Running(Span::from_micros(
             body["takes"].as_u64().unwrap_or_default(),
         ))
     }
@@ -65,21 +65,21 @@
         self.cancelled.insert(id);
     }
 
-    pub(crate) fn end(&mut self, order: &Order, length: usize) -> Outcome {
+    pub(crate) fn end(&mut self, request: &RunRequest, length: usize) -> Outcome {
         self.busy -= 1;
-        if self.cancelled.remove(&order.id) {
+        if self.cancelled.remove(&request.id) {
             return Outcome::Failed(Payload::from(b"{}".as_slice()));
         }
         let answer = json!({
             "service": self.service,
-            "key": order.key,
-            "text": answer_text(order.key, length),
+            "key": request.key,
+            "text": answer_text(request.key, length),
         });
         Outcome::Answered(Payload::from(answer.to_string().into_bytes()))
     }
 }
 
-/// Text that only the answer to this key has.
+/// Text of an answer, unique to its request key.
 pub(crate) fn answer_text(key: RequestKey, length: usize) -> String {
     key.to_string().chars().cycle().take(length).collect()
 }
--- a/crates/scenario/src/balancer_node.rs
+++ b/crates/scenario/src/balancer_node.rs
@@ -15,13 +15,14 @@
 
 use crate::effect::Effect;
 
-const HINTS: usize = 1_000;
+const MAX_HINTS: usize = 1_000;
 
-/// A balancer wired as the runtime wires it, without threads and sockets.
+/// Balancer assembled from the decision crates as in the real process, without threads and sockets.
 #[derive(Debug)]
 pub(crate) struct BalancerNode {
     pub(crate) cache: Cache,
     pub(crate) effects: Vec<Effect>,
+    /// Number of dropped packets by reason.
     pub(crate) dropped: BTreeMap<String, u64>,
     address: SocketAddrV4,
     centre: DataCentre,
@@ -31,6 +32,7 @@
     tables: IndexMap<ServiceName, Arc<Table>>,
     suspected: IndexMap<ServiceName, Vec<HostId>>,
     quarantine: Quarantine,
+    // When the next address leaves quarantine.
     release: Option<Time>,
 }
 
@@ -55,7 +57,7 @@
             centre,
             membership: Membership::new(identity, Box::new(Pcg64::seed_from_u64(seed))),
             router: Router::default(),
-            hints: HintTable::new(HINTS),
+            hints: HintTable::new(MAX_HINTS),
             tables: IndexMap::new(),
             suspected: IndexMap::new(),
             quarantine: Quarantine::default(),
@@ -73,11 +75,11 @@
             self.publish(now);
         }
         if self.membership.next_timer().is_some_and(|due| due <= now) {
-            self.advance(now, Event::Tick);
+            self.update_membership(now, Event::Tick);
         }
     }
 
-    pub(crate) fn packet(&mut self, packet: Packet) {
+    pub(crate) fn forward_packet(&mut self, packet: Packet) {
         match self.router.forward(packet, &mut self.hints, self.address) {
             Forward::Send { to, relay } => {
                 let message = Message::Relay(relay);
@@ -89,20 +91,20 @@
         }
     }
 
-    pub(crate) fn message(&mut self, now: Time, source: SocketAddrV4, message: Message) {
+    pub(crate) fn handle_message(&mut self, now: Time, source: SocketAddrV4, message: Message) {
         match message {
             Message::Hint(hint) => self.hints.insert(hint.flow, hint.holder),
-            Message::Beat(beat) => self.advance(now, Event::Beat { source, beat }),
-            Message::BeatAck(ack) => self.advance(now, Event::BeatAck(ack)),
+            Message::Beat(beat) => self.update_membership(now, Event::Beat { source, beat }),
+            Message::BeatAck(ack) => self.update_membership(now, Event::BeatAck(ack)),
             Message::Relay(_) | Message::Agent { .. } => {}
         }
     }
 
-    pub(crate) fn store(&mut self, now: Time, up: bool) {
-        self.advance(now, if up { Event::StoreUp } else { Event::StoreDown });
+    pub(crate) fn set_store_up(&mut self, now: Time, up: bool) {
+        self.update_membership(now, if up { Event::StoreUp } else { Event::StoreDown });
     }
 
-    pub(crate) fn objects(
+    pub(crate) fn adopt_objects(
         &mut self,
         now: Time,
         after: Version,
@@ -119,7 +121,7 @@
         }
         let centre = self.centre.clone();
         if let Some(fleet) = self.cache.fleet(centre.as_str()) {
-            self.advance(now, Event::Fleet { centre, fleet });
+            self.update_membership(now, Event::Fleet { centre, fleet });
         }
         self.publish(now);
         let revision = self.cache.complete();
@@ -127,10 +129,10 @@
             revision,
             ..Status::default()
         };
-        self.advance(now, Event::Status(status));
+        self.update_membership(now, Event::Status(status));
     }
 
-    fn advance(&mut self, now: Time, event: Event) {
+    fn update_membership(&mut self, now: Time, event: Event) {
         for action in self.membership.handle(now, event) {
             match action {
                 Action::Beat { to, beat } => {
@@ -147,12 +149,13 @@
                     self.suspected.insert(service, hosts);
                     self.publish(now);
                 }
-                // Fleets are joined and left by the world in one step.
+                // The simulation joins fleets itself, in one step.
                 Action::Distrusted { .. } | Action::Propose(_) | Action::ProposeFleet(_) => {}
             }
         }
     }
 
+    // Builds the table of a service if its roster or its generation changed.
     fn rebuild(&mut self, now: Time, service: &ServiceName) {
         let Some(entry) = self.cache.service(service).cloned() else {
             return;
@@ -178,9 +181,10 @@
         let table = Arc::new(table.with_suspected(suspected));
         self.tables.insert(service.clone(), table);
         let service = service.clone();
-        self.advance(now, Event::Roster { service, roster });
+        self.update_membership(now, Event::Roster { service, roster });
     }
 
+    // Replaces the router by one with the tables of all addresses outside quarantine.
     fn publish(&mut self, now: Time) {
         let services: Vec<_> = self.cache.services().collect();
         let addresses = services.iter().map(|(name, entry)| (entry.address, name));
@@ -196,7 +200,7 @@
 }
 
 impl BalancerNode {
-    /// Revision in force.
+    /// Configuration revision in force.
     pub(crate) fn revision(&self) -> Version {
         self.cache.complete()
     }
--- a/crates/scenario/src/caller.rs
+++ b/crates/scenario/src/caller.rs
@@ -9,98 +9,106 @@
 use crate::connection::Connection;
 use crate::statement::Load;
 
-/// A request with all its transmissions and all its runs.
+/// Request with all its transmissions and runs.
 #[derive(Debug)]
-pub(crate) struct Ask {
+pub(crate) struct TrackedRequest {
     pub(crate) load: Load,
-    pub(crate) first: Time,
+    pub(crate) first_sent: Time,
+    /// Number of transmissions, of which the two of a doubled request count as one.
     pub(crate) attempts: u16,
-    pub(crate) sent: IndexMap<RequestId, Sent>,
+    pub(crate) transmissions: IndexMap<RequestId, Transmission>,
+    /// Transmission, host and start time of each run.
     pub(crate) runs: Vec<(RequestId, HostId, Time)>,
 }
 
 /// One transmission of a request.
 #[derive(Debug)]
-pub(crate) struct Sent {
+pub(crate) struct Transmission {
     pub(crate) time: Time,
-    pub(crate) told: Option<Outcome>,
+    /// Outcome in the reply; `None` while there is no reply.
+    pub(crate) reply: Option<Outcome>,
 }
 
-impl Ask {
+impl TrackedRequest {
     pub(crate) fn is_answered(&self) -> bool {
-        self.sent.values().any(|sent| sent.told.is_some())
+        self.transmissions
+            .values()
+            .any(|transmission| transmission.reply.is_some())
     }
 
-    /// Transmissions that were told "not run".
-    pub(crate) fn not_run(&self) -> impl Iterator<Item = (&RequestId, &Sent)> {
-        self.sent
+    /// Transmissions whose reply was "not run".
+    pub(crate) fn not_run(&self) -> impl Iterator<Item = (&RequestId, &Transmission)> {
+        self.transmissions
             .iter()
-            .filter(|(_, sent)| matches!(sent.told, Some(Outcome::NotRun { .. })))
+            .filter(|(_, transmission)| matches!(transmission.reply, Some(Outcome::NotRun { .. })))
     }
 }
 
-/// All callers: their flows and their requests.
+/// All callers with their flows and requests.
 #[derive(Debug, Default)]
 pub(crate) struct Caller {
     pub(crate) flows: Vec<Connection>,
-    pub(crate) asks: IndexMap<RequestKey, Ask>,
+    pub(crate) requests: IndexMap<RequestKey, TrackedRequest>,
+    /// Answers that came from another service.
     pub(crate) misrouted: u64,
+    /// Answers that are incomplete, repeated, or belong to no request or another one.
     pub(crate) damaged: u64,
+    // Position of each flow in `flows`.
     index: HashMap<FlowId, usize>,
 }
 
 impl Caller {
     pub(crate) fn open(&mut self, connection: Connection) -> usize {
-        let number = self.flows.len();
-        self.index.insert(connection.flow, number);
+        let position = self.flows.len();
+        self.index.insert(connection.flow, position);
         self.flows.push(connection);
-        number
+        position
     }
 
-    /// Number of a flow.
-    pub(crate) fn number(&self, flow: &FlowId) -> Option<usize> {
+    /// Position of a flow in `flows`.
+    pub(crate) fn position(&self, flow: &FlowId) -> Option<usize> {
         self.index.get(flow).copied()
     }
 
-    /// Open flows to the service of a load.
-    pub(crate) fn usable(&self, load: &Load) -> Vec<usize> {
+    /// Positions of the open flows to the service of a load.
+    pub(crate) fn open_flows(&self, load: &Load) -> Vec<usize> {
         let flows = self.flows.iter().enumerate();
         flows
             .filter(|(_, flow)| flow.is_open() && flow.service == load.service)
-            .map(|(number, _)| number)
+            .map(|(position, _)| position)
             .collect()
     }
 
-    pub(crate) fn ask(&mut self, now: Time, key: RequestKey, load: Load) {
-        let ask = Ask {
+    pub(crate) fn track(&mut self, now: Time, key: RequestKey, load: Load) {
+        let tracked = TrackedRequest {
             load,
-            first: now,
+            first_sent: now,
             attempts: 1,
-            sent: IndexMap::new(),
+            transmissions: IndexMap::new(),
             runs: Vec::new(),
         };
-        self.asks.insert(key, ask);
+        self.requests.insert(key, tracked);
     }
 
-    /// Sends a request, or repeats it, on a flow.
+    /// Sends or repeats a request on a flow; returns the packets to send.
     pub(crate) fn send(&mut self, now: Time, key: RequestKey, flow: usize) -> Vec<Packet> {
-        let Some(ask) = self.asks.get_mut(&key) else {
+        let Some(tracked) = self.requests.get_mut(&key) else {
             return Vec::new();
         };
         let request = RequestMessage {
             id: key.to_string().into(),
-            method: ask.load.method.clone(),
+            method: tracked.load.method.clone(),
             meta: Meta {
                 key,
-                once: ask.load.once,
-                deadline_ms: Some(ask.load.deadline.as_millis()),
-                attempt: Attempt::new(ask.attempts),
-                age_ms: (now - ask.first).as_millis(),
+                once: tracked.load.once,
+                deadline_ms: Some(tracked.load.deadline.as_millis()),
+                attempt: Attempt::new(tracked.attempts),
+                age_ms: (now - tracked.first_sent).as_millis(),
                 budget: None,
                 priority: None,
             },
             body: Payload::from(
-                json!({ "takes": ask.load.takes.as_micros() })
+                json!({ "takes": tracked.load.takes.as_micros() })
                     .to_string()
                     .into_bytes(),
             ),
@@ -112,31 +120,31 @@
             flow: connection.flow,
             message,
         };
-        ask.sent.insert(
+        tracked.transmissions.insert(
             id,
-            Sent {
+            Transmission {
                 time: now,
-                told: None,
+                reply: None,
             },
         );
         packets
     }
 
-    /// Takes a packet and gives the packets to send in answer.
+    /// Handles a packet and returns the packets to send in answer.
     pub(crate) fn receive(&mut self, now: Time, packet: Packet, length: usize) -> Vec<Packet> {
-        let Some(number) = self.number(&packet.flow) else {
+        let Some(position) = self.position(&packet.flow) else {
             return Vec::new();
         };
-        let (packets, message) = self.flows[number].receive(now, packet.body);
+        let (packets, message) = self.flows[position].receive(now, packet.body);
         if let Some(bytes) = message {
-            self.answer(number, &bytes, length);
+            self.answer(position, &bytes, length);
         }
         packets
     }
 
     pub(crate) fn note_run(&mut self, now: Time, id: RequestId, key: RequestKey, host: &HostId) {
-        if let Some(ask) = self.asks.get_mut(&key) {
-            ask.runs.push((id, host.clone(), now));
+        if let Some(tracked) = self.requests.get_mut(&key) {
+            tracked.runs.push((id, host.clone(), now));
         }
     }
 
@@ -148,24 +156,24 @@
             self.damaged += 1;
             return;
         };
-        let Some(ask) = self.asks.get_mut(&key) else {
+        let Some(tracked) = self.requests.get_mut(&key) else {
             self.damaged += 1;
             return;
         };
         if let Outcome::Answered(payload) = &response.outcome {
             let value: Value = serde_json::from_slice(payload).unwrap_or_default();
-            self.misrouted += u64::from(value["service"] != ask.load.service.as_str());
+            self.misrouted += u64::from(value["service"] != tracked.load.service.as_str());
             let is_own = value["key"] == key.to_string();
             let is_whole = value["text"] == answer_text(key, length);
             self.damaged += u64::from(!is_own || !is_whole);
         }
         let flow = self.flows[flow].flow;
-        let waiting = ask
-            .sent
+        let waiting = tracked
+            .transmissions
             .iter_mut()
-            .find(|(id, sent)| id.flow == flow && sent.told.is_none());
+            .find(|(id, transmission)| id.flow == flow && transmission.reply.is_none());
         match waiting {
-            Some((_, sent)) => sent.told = Some(response.outcome),
+            Some((_, transmission)) => transmission.reply = Some(response.outcome),
             None => self.damaged += 1,
         }
     }
--- a/crates/scenario/src/connection.rs
+++ b/crates/scenario/src/connection.rs
@@ -1,8 +1,9 @@
 use usher_flows::{Inbox, Outbox, Receipt};
 use usher_types::{Body, FlowId, MessageId, Packet, Sequence, ServiceName, Span, Time};
 
-const FIRST_DELAY: Span = Span::from_millis(200);
-const LAST_DELAY: Span = Span::from_secs(2);
+// Delay before the first repetition of the opening packet; it doubles each time, up to the maximum.
+const FIRST_RETRY_DELAY: Span = Span::from_millis(200);
+const MAX_RETRY_DELAY: Span = Span::from_secs(2);
 
 /// The caller's side of one flow.
 #[derive(Debug)]
@@ -12,13 +13,14 @@
     pub(crate) is_reset: bool,
     sequence: Sequence,
     message: MessageId,
+    // Next transmission of the opening packet and the delay after it; `None` once accepted.
     opening: Option<(Time, Span)>,
     inbox: Inbox,
     outbox: Outbox,
 }
 
 impl Connection {
-    /// A flow whose first packet is due at `now`.
+    /// Creates a flow that sends its first packet at `now`.
     pub(crate) fn new(now: Time, flow: FlowId, service: ServiceName) -> Self {
         Self {
             flow,
@@ -26,7 +28,7 @@
             is_reset: false,
             sequence: Sequence::default(),
             message: MessageId::default(),
-            opening: Some((now, FIRST_DELAY)),
+            opening: Some((now, FIRST_RETRY_DELAY)),
             inbox: Inbox::default(),
             outbox: Outbox::default(),
         }
@@ -36,16 +38,16 @@
         self.opening.is_none() && !self.is_reset
     }
 
-    /// Sends a message; gives its number and the packets.
+    /// Sends a message; returns its number and the packets to send.
     pub(crate) fn send(&mut self, now: Time, bytes: Vec<u8>) -> (MessageId, Vec<Packet>) {
         self.message = self.message.next();
         let segments = self.outbox.push(now, self.message, bytes);
         let segments = segments.unwrap_or_default();
         let packets = segments.into_iter().map(Body::Segment);
-        (self.message, self.packets(packets))
+        (self.message, self.wrap(packets))
     }
 
-    /// Packets to send in answer, and a whole message if one is complete.
+    /// Returns the packets to send in answer, and the message if it is complete.
     pub(crate) fn receive(&mut self, now: Time, body: Body) -> (Vec<Packet>, Option<Vec<u8>>) {
         match body {
             Body::Accept => self.opening = None,
@@ -53,13 +55,13 @@
             Body::Ack { message, index } => {
                 let segments = self.outbox.acknowledge(now, message, index);
                 let packets = segments.into_iter().map(Body::Segment);
-                return (self.packets(packets), None);
+                return (self.wrap(packets), None);
             }
             Body::Segment(segment) => {
                 let (message, index) = (segment.message, segment.index);
                 let receipt = self.inbox.accept(segment);
                 let ack = Body::Ack { message, index };
-                let packets = self.packets(receipt.is_acknowledged().then_some(ack));
+                let packets = self.wrap(receipt.is_acknowledged().then_some(ack));
                 let complete = match receipt {
                     Receipt::Complete(bytes) => Some(bytes),
                     _ => None,
@@ -75,13 +77,14 @@
         match self.opening {
             Some((due, _)) if due > now => Vec::new(),
             Some((_, delay)) => {
-                let next = Span::from_micros((delay * 2).as_micros().min(LAST_DELAY.as_micros()));
+                let next =
+                    Span::from_micros((delay * 2).as_micros().min(MAX_RETRY_DELAY.as_micros()));
                 self.opening = Some((now + delay, next));
-                self.packets([Body::Open])
+                self.wrap([Body::Open])
             }
             None => {
                 let segments = self.outbox.tick(now);
-                self.packets(segments.into_iter().map(Body::Segment))
+                self.wrap(segments.into_iter().map(Body::Segment))
             }
         }
     }
@@ -93,7 +96,8 @@
             .filter(|_| !self.is_reset)
     }
 
-    fn packets(&mut self, bodies: impl IntoIterator<Item = Body>) -> Vec<Packet> {
+    // Wraps bodies in packets with consecutive sequence numbers.
+    fn wrap(&mut self, bodies: impl IntoIterator<Item = Body>) -> Vec<Packet> {
         let packet = |body| {
             self.sequence = self.sequence.next();
             Packet {
--- a/crates/scenario/src/effect.rs
+++ b/crates/scenario/src/effect.rs
@@ -5,9 +5,9 @@
     Beat, FlowId, Generation, HostId, Message, Packet, RequestId, ServiceName, Version,
 };
 
-use crate::backend::Order;
+use crate::backend::RunRequest;
 
-/// What a process asks of the world around it.
+/// Action that a process asks the simulation to perform.
 #[derive(Debug)]
 pub(crate) enum Effect {
     Send {
@@ -15,11 +15,11 @@
         message: Message,
     },
     Packet(Packet),
-    Run(Order),
+    Run(RunRequest),
     CancelRun(RequestId),
     HandOver {
         to: HostId,
-        transfers: Transfers,
+        handover: HandoverRequest,
     },
     Propose {
         proposal: Proposal,
@@ -28,7 +28,7 @@
 }
 
 impl Effect {
-    /// One heartbeat to several receivers.
+    /// Sends one heartbeat to several receivers.
     pub(crate) fn beats(to: Vec<SocketAddrV4>, beat: Beat) -> impl Iterator<Item = Self> {
         let message = Message::Beat(beat);
         to.into_iter().map(move |to| Self::Send {
@@ -38,24 +38,24 @@
     }
 }
 
-/// What one agent hands to another.
+/// State that one agent hands over to another.
 #[derive(Debug)]
-pub(crate) struct Transfers {
+pub(crate) struct HandoverRequest {
     pub(crate) service: ServiceName,
     pub(crate) generation: Generation,
     pub(crate) content: Content,
 }
 
-/// Content of a handover.
+/// Flows or dedupe records of a handover.
 #[derive(Debug)]
 pub(crate) enum Content {
     Flows(usher_flows::Transfer),
     Records(usher_dedupe::Transfer),
 }
 
-/// Answer to a handover.
+/// Answer to a handover: the flows, or the roster version of the records, taken over.
 #[derive(Debug)]
-pub(crate) enum Taken {
+pub(crate) enum HandoverReply {
     Flows(Vec<FlowId>),
     Records(Version),
 }
--- a/crates/scenario/src/error.rs
+++ b/crates/scenario/src/error.rs
@@ -1,52 +1,52 @@
 use thiserror::Error;
 use usher_types::ParseError;
 
-/// Why a scenario cannot be run.
+/// Error in the text of a scenario.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ScenarioError {
-    /// The line is no statement of the language.
+    /// The line is not a statement of the scenario language.
     #[error("MU-9001: {file}:{line}: unknown statement {text:?}")]
     Statement {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// Number of the line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// The line.
+        /// Text of the line.
         text: String,
     },
     /// A name, number or time span is malformed.
     #[error("MU-9002: {file}:{line}: {cause}")]
     Value {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// Number of the line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// What is wrong with it.
+        /// Description of the malformed value.
         cause: String,
     },
     /// A statement names a service that no earlier line declares.
     #[error("MU-9003: {file}:{line}: unknown service {name}")]
     Service {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// Number of the line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// The name.
+        /// Name of the service.
         name: String,
     },
     /// An expectation names a figure that no run measures.
     #[error("MU-9004: {file}:{line}: unknown figure {name:?}")]
     Figure {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// Number of the line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// The name.
+        /// Name of the figure.
         name: String,
     },
 }
 
-/// Why one line cannot be read; the file and the line number are added later.
+/// Reason why one line cannot be parsed, without file and line number.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Cause {
     Statement,
--- a/crates/scenario/src/expectation.rs
+++ b/crates/scenario/src/expectation.rs
@@ -2,22 +2,22 @@
 
 use usher_types::Span;
 
-/// One expected figure of a run.
+/// Expected value of one figure of a run.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Expectation {
-    /// Line of the statement.
+    /// Line number of the statement.
     pub(crate) line: usize,
     /// Name of the figure.
     pub(crate) name: String,
-    /// How the figure compares to the limit.
+    /// How the figure must compare to the limit.
     pub(crate) relation: Relation,
-    /// The limit.
+    /// Value that the figure is compared with.
     pub(crate) limit: f64,
-    /// Time that must have passed before the figure counts.
+    /// Time after a drain from which `new_runs_after_drain` counts runs.
     pub(crate) after: Span,
 }
 
-/// How a figure compares to its limit.
+/// How a figure must compare to its limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Relation {
     Equal,
--- a/crates/scenario/src/fault.rs
+++ b/crates/scenario/src/fault.rs
@@ -2,60 +2,60 @@
 
 use usher_types::{HostId, Peer, ProfileName, ServiceName, Span};
 
-/// What a scenario does to the system at a given time.
+/// Action of a scenario at a given time, mostly a fault.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Fault {
-    /// Ends a process and, for a host, its backend server, without notice.
+    /// Kills a process and, on a host, its backend server.
     Kill(Peer),
-    /// Starts a balancer.
+    /// Starts a balancer, on a new instance if none has this name.
     StartBalancer(Peer),
-    /// Adds a host to a service.
+    /// Starts an agent, on a new host if none has this name.
     StartHost(HostId, ServiceName),
-    /// Begins a planned stop of an agent; `again` starts a new process afterwards.
-    Stop { host: HostId, again: bool },
-    /// Begins a drain without a stop.
+    /// Stops an agent after a drain; `restart` starts a new process afterwards.
+    Stop { host: HostId, restart: bool },
+    /// Drains an agent without stopping it.
     Drain(HostId),
     /// Pauses every process of a machine.
     Freeze(Peer, Span),
-    /// Loses every packet between one process and others; `store` is a name too.
+    /// Drops every packet between one machine and others, or the machine and `store`.
     Cut(String, Vec<String>, Span),
-    /// The store answers nobody.
+    /// No process or operator reaches the store.
     StoreDown(Span),
-    /// The next writes take effect and their answers are lost.
+    /// The next writes take effect, but their answers are lost.
     LoseAnswers(u32),
-    /// Half of the reads see the state at the start of this time.
+    /// For this time, half of the reads see the state at its start.
     StoreStale(Span),
     /// An operator changes fields of a profile.
-    Set(ProfileName, Vec<String>),
+    SetProfile(ProfileName, Vec<String>),
     /// Two operators change one profile after reading the same version.
-    Race(ProfileName, [String; 2]),
+    RaceProfile(ProfileName, [String; 2]),
     /// An operator deletes a profile.
-    Delete(ProfileName),
-    /// Two services exchange their addresses through a third one.
+    DeleteProfile(ProfileName),
+    /// An operator exchanges the addresses of two services by way of a free address.
     Swap(ServiceName, ServiceName),
     /// An operator gives a service another address.
-    Move(ServiceName, SocketAddrV4),
+    MoveService(ServiceName, SocketAddrV4),
     /// The backend server refuses or fails every run.
     Backend(HostId, BackendMode, Span),
     /// Callers open flows.
-    Open(usize, ServiceName),
+    OpenFlows(usize, ServiceName),
     /// A setting of the network, the store's watches or the callers.
     Setting(Setting),
 }
 
-/// How a backend server treats runs.
+/// How a backend server responds to run requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) enum BackendMode {
-    /// It runs them.
+    /// Runs them.
     #[default]
     Up,
-    /// No run starts.
+    /// Refuses every run.
     Down,
-    /// Every run ends at once with an error.
+    /// Fails every run at once.
     Fails,
 }
 
-/// One setting; it holds until it is set again.
+/// One setting, in force until it is set again.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Setting {
     /// Least and greatest delay of a packet.
@@ -64,13 +64,13 @@
     Loss(f64),
     /// Share of packets that arrive twice.
     Duplicate(f64),
-    /// Share of packets of which a copy arrives up to this much later.
+    /// Share of packets of which a further copy arrives, delayed by up to this time.
     Late(f64, Span),
-    /// Least and greatest delay of a watch's answer.
+    /// Least and greatest delay until a watch reports a change.
     Watch(Span, Span),
-    /// Share of requests that are sent on a second flow too.
+    /// Share of requests that are sent twice, each time on a random flow.
     Twice(f64),
-    /// Callers repeat an unanswered request after this time, on another flow.
+    /// Interval and maximum number of transmissions of an unanswered request.
     Resend(Span, u16),
     /// Length of an answer's text in bytes.
     Answer(usize),
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,8 +1,9 @@
-//! Scripted scenarios over the decision crates in virtual time.
+//! Simulates whole deployments of the decision crates in virtual time.
 //!
 //! A scenario is a text file that declares services and loads, injects faults at given times and
-//! states the figures it expects. The processes are wired as the runtime wires them; store,
-//! network, backend servers and callers are small fakes. Equal seeds give equal runs.
+//! states the figures that it expects. Agents and balancers run the decision code of the real
+//! processes; store, network, backend servers and callers are small fakes. Equal seeds give equal
+//! runs.
 
 mod agent_node;
 mod backend;
@@ -10,7 +11,6 @@
 mod caller;
 mod clock;
 mod connection;
-mod due;
 mod effect;
 mod error;
 mod expectation;
@@ -19,10 +19,11 @@
 mod network;
 mod report;
 mod scenario;
+mod scheduled_event;
+mod simulation;
 mod statement;
 mod store;
 mod tally;
-mod world;
 
 pub use error::ScenarioError;
 pub use report::Report;
--- a/crates/scenario/src/machine.rs
+++ b/crates/scenario/src/machine.rs
@@ -8,7 +8,7 @@
 use crate::clock::Clock;
 use crate::effect::Effect;
 
-/// A host or an instance with the process that runs on it.
+/// Host or instance and the process that runs on it.
 #[derive(Debug)]
 pub(crate) struct Machine {
     pub(crate) name: String,
@@ -17,26 +17,29 @@
     /// Service of a host; `None` for a balancer's instance.
     pub(crate) service: Option<ServiceName>,
     pub(crate) clock: Clock,
-    /// Nothing happens on the machine before this time.
-    pub(crate) frozen: Time,
+    /// Events on the machine are put off until this time.
+    pub(crate) frozen_until: Time,
     pub(crate) incarnation: u64,
     pub(crate) process: Option<Process>,
-    /// A new process starts when the present one has left.
-    pub(crate) again: bool,
+    /// Whether a new process starts when the current one has left.
+    pub(crate) restart: bool,
 }
 
 /// The running process of a machine.
 #[derive(Debug)]
 pub(crate) struct Process {
     pub(crate) role: Role,
+    /// Time of the run at which the scheduled timer event is due.
     pub(crate) armed: Option<Time>,
-    /// Version up to which the store's watch has been read.
+    /// Version up to which the process has read the store.
     pub(crate) since: Version,
+    /// Whether the store was reachable at the last poll; `None` before the first one.
     pub(crate) store_up: Option<bool>,
+    /// Whether a poll of the store is scheduled.
     pub(crate) polling: bool,
 }
 
-/// What a process does.
+/// Kind of a process with its state.
 #[derive(Debug)]
 pub(crate) enum Role {
     Agent(Box<AgentNode>),
@@ -60,8 +63,12 @@
 
     pub(crate) fn peer(&self) -> Peer {
         match &self.service {
-            Some(_) => Peer::Host(self.name.parse().expect("the name was a host's")),
-            None => Peer::Instance(self.name.parse().expect("the name was an instance's")),
+            Some(_) => Peer::Host(self.name.parse().expect("name of a host parses as its id")),
+            None => Peer::Instance(
+                self.name
+                    .parse()
+                    .expect("name of an instance parses as its id"),
+            ),
         }
     }
 }
@@ -81,14 +88,14 @@
         }
     }
 
-    pub(crate) fn store(&mut self, now: Time, up: bool) {
+    pub(crate) fn set_store_up(&mut self, now: Time, up: bool) {
         match self {
-            Self::Agent(node) => node.store(now, up),
-            Self::Balancer(node) => node.store(now, up),
+            Self::Agent(node) => node.set_store_up(now, up),
+            Self::Balancer(node) => node.set_store_up(now, up),
         }
     }
 
-    pub(crate) fn objects(
+    pub(crate) fn adopt_objects(
         &mut self,
         now: Time,
         after: Version,
@@ -96,26 +103,26 @@
         objects: Vec<Object>,
     ) {
         match self {
-            Self::Agent(node) => node.objects(now, after, through, objects),
-            Self::Balancer(node) => node.objects(now, after, through, objects),
+            Self::Agent(node) => node.adopt_objects(now, after, through, objects),
+            Self::Balancer(node) => node.adopt_objects(now, after, through, objects),
         }
     }
 
-    pub(crate) fn message(&mut self, now: Time, from: SocketAddrV4, message: Message) {
+    pub(crate) fn handle_message(&mut self, now: Time, from: SocketAddrV4, message: Message) {
         match self {
-            Self::Agent(node) => node.message(now, from, message),
-            Self::Balancer(node) => node.message(now, from, message),
+            Self::Agent(node) => node.handle_message(now, from, message),
+            Self::Balancer(node) => node.handle_message(now, from, message),
         }
     }
 
-    pub(crate) fn effects(&mut self) -> Vec<Effect> {
+    pub(crate) fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(match self {
             Self::Agent(node) => &mut node.effects,
             Self::Balancer(node) => &mut node.effects,
         })
     }
 
-    /// Revision in force; `None` if the process does not serve.
+    /// Configuration revision in force; `None` if the process does not serve.
     pub(crate) fn revision(&self) -> Option<Version> {
         match self {
             Self::Agent(node) => node.revision(),
@@ -123,7 +130,7 @@
         }
     }
 
-    /// All objects that the process knows.
+    /// All configuration objects in the cache of the process.
     pub(crate) fn known(&self) -> Vec<Object> {
         let cache = match self {
             Self::Agent(node) => &node.cache,
--- a/crates/scenario/src/network.rs
+++ b/crates/scenario/src/network.rs
@@ -4,7 +4,7 @@
 
 use crate::fault::Setting;
 
-/// Packets between processes: delay, loss, duplication, late copies and cuts.
+/// Network between processes, with delay, loss, duplication, late copies and cuts.
 #[derive(Debug)]
 pub(crate) struct Network {
     rng: Pcg64,
@@ -12,6 +12,7 @@
     loss: f64,
     duplicate: f64,
     late: (f64, Span),
+    // One name, the names that it is cut off from, and the end of the cut.
     cuts: Vec<(String, Vec<String>, Time)>,
 }
 
@@ -42,15 +43,15 @@
     }
 
     pub(crate) fn is_cut(&self, now: Time, a: &str, b: &str) -> bool {
-        let joins = |from: &str, to: &[String], x: &str, y: &str| {
+        let separates = |from: &str, to: &[String], x: &str, y: &str| {
             from == x && to.iter().any(|name| name == y)
         };
         self.cuts.iter().any(|(from, to, until)| {
-            now < *until && (joins(from, to, a, b) || joins(from, to, b, a))
+            now < *until && (separates(from, to, a, b) || separates(from, to, b, a))
         })
     }
 
-    /// When the copies of a packet arrive; none if it is lost.
+    /// Arrival times of a packet and its copies; empty if it is lost.
     pub(crate) fn arrivals(&mut self, now: Time, from: &str, to: &str) -> Vec<Time> {
         if self.is_cut(now, from, to) || self.rng.random_bool(self.loss) {
             return Vec::new();
@@ -65,13 +66,13 @@
         times
     }
 
-    /// Delay of one packet or of one half of a call.
+    /// Random delay of one packet, or of a call in one direction.
     pub(crate) fn delay(&mut self) -> Span {
         between(&mut self.rng, self.delay.0, self.delay.1)
     }
 }
 
-/// A random time span within bounds.
+/// Returns a random time span between `least` and `greatest`, both included.
 pub(crate) fn between(rng: &mut impl Rng, least: Span, greatest: Span) -> Span {
     Span::from_micros(rng.random_range(least.as_micros()..=greatest.as_micros()))
 }
--- a/crates/scenario/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -1,7 +1,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Figures that every run measures; `docs` of the language list them in this order.
+/// Figures that every run measures, in the order of the scenario language's documentation.
 const FIGURES: &[&str] = &[
     "accepted",
     "answered",
@@ -27,10 +27,10 @@
     "unknown",
 ];
 
-/// Figures that are followed by the name of a service.
-const OF_SERVICE: &[&str] = &["members"];
+/// Figures of one service, whose name follows.
+const SERVICE_FIGURES: &[&str] = &["members"];
 
-/// What a run measured and which expectations it missed.
+/// Measured figures of a run and the expectations that it missed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Report {
     /// Seed of the run.
@@ -39,9 +39,9 @@
     pub figures: BTreeMap<String, f64>,
     /// One line for each expectation that was missed.
     pub failures: Vec<String>,
-    /// Checksum over all events of the run, equal for equal runs.
+    /// Hash over all events of the run, equal for equal runs.
     pub trace: u64,
-    /// Events of the decision code by name.
+    /// Event counters of the decision code by name.
     pub counts: BTreeMap<String, u64>,
 }
 
@@ -60,12 +60,12 @@
     }
 }
 
-/// Whether an expectation may name this figure.
+/// Whether `name` is a figure that an expectation may name.
 pub(crate) fn is_figure(name: &str) -> bool {
     let words: Vec<&str> = name.split(' ').collect();
     match words.as_slice() {
         [name] => FIGURES.contains(name),
-        [name, _service] => OF_SERVICE.contains(name),
+        [name, _service] => SERVICE_FIGURES.contains(name),
         _ => false,
     }
 }
--- a/crates/scenario/src/scenario.rs
+++ b/crates/scenario/src/scenario.rs
@@ -4,13 +4,13 @@
 use crate::expectation::Expectation;
 use crate::fault::Fault;
 use crate::report::is_figure;
+use crate::simulation::Simulation;
 use crate::statement::{Load, ServiceSpec, Statement};
-use crate::world::World;
 use crate::{Report, ScenarioError};
 
 const DEFAULT_RUN: Span = Span::from_secs(20);
 
-/// A scripted run with its expected outcome.
+/// A parsed scenario: the deployment, its faults and the expected figures.
 ///
 /// ```
 /// let scenario = usher_scenario::Scenario::parse("demo.txt", "seed 7\nrun 1s\n")?;
@@ -29,7 +29,7 @@
 }
 
 impl Scenario {
-    /// Reads a scenario, one statement a line; `#` begins a comment.
+    /// Parses a scenario with one statement per line; `#` begins a comment.
     ///
     /// # Errors
     /// `MU-9001` to `MU-9004` with file and line.
@@ -61,7 +61,7 @@
         Ok(scenario)
     }
 
-    /// Seed that the file states.
+    /// Seed from the file, or 0 if it has none.
     pub fn seed(&self) -> u64 {
         self.seed
     }
@@ -74,7 +74,7 @@
     /// # Ok::<(), usher_scenario::ScenarioError>(())
     /// ```
     pub fn run(&self, seed: u64) -> Report {
-        World::new(self, seed).run()
+        Simulation::new(self, seed).run()
     }
 
     fn add(&mut self, position: Position<'_>, text: &str) -> Result<(), ScenarioError> {
@@ -90,7 +90,7 @@
                 self.loads.push(load);
             }
             Statement::At(time, fault) => {
-                if let Fault::Open(_, service) | Fault::StartHost(_, service) = &fault {
+                if let Fault::OpenFlows(_, service) | Fault::StartHost(_, service) = &fault {
                     self.check_service(position, service)?;
                 }
                 self.faults.push((time, fault));
--- a/crates/scenario/src/world/carry.rs
+++ b/crates/scenario/src/simulation/execute.rs
@@ -3,20 +3,20 @@
 
 use rand::Rng;
 
-use super::World;
+use super::Simulation;
 use crate::agent_node::AgentNode;
-use crate::backend::{Order, Start};
+use crate::backend::{RunRequest, StartResult};
 use crate::balancer_node::BalancerNode;
-use crate::due::{Due, Local, Name, RunResult};
 use crate::effect::Effect;
 use crate::machine::{Process, Role};
 use crate::network::between;
+use crate::scheduled_event::{MachineEvent, MachineName, RunResult, ScheduledEvent};
 
-const LOOPBACK: Span = Span::from_micros(50);
-// Longer than the first read of the store, so that either may come first.
-const PEER_CALL: Span = Span::from_millis(200);
+const LOOPBACK_DELAY: Span = Span::from_micros(50);
+// Longer than the delay of the first store read, so that either may come first.
+const MAX_PEER_DELAY: Span = Span::from_millis(200);
 
-impl World<'_> {
+impl Simulation<'_> {
     /// Starts a new process on a machine.
     pub(super) fn start(&mut self, name: &str) {
         let seed = self.rng.random();
@@ -24,7 +24,7 @@
             return;
         };
         machine.incarnation += 1;
-        machine.again = false;
+        machine.restart = false;
         let incarnation = Incarnation::new(machine.incarnation);
         let now = machine.clock.read(self.now);
         let (address, centre) = (machine.address, machine.centre.clone());
@@ -60,16 +60,16 @@
             polling: true,
         });
         let delay = between(&mut self.rng, Span::ZERO, Span::from_millis(50));
-        self.push_on(delay, name, Local::Poll);
+        self.push_on(delay, name, MachineEvent::Poll);
         self.fetch_from_peer(name);
         if is_balancer {
-            self.push_on(delay, name, Local::JoinFleet);
-            self.spray.push(name.to_owned());
+            self.push_on(delay, name, MachineEvent::JoinFleet);
+            self.advertised.push(name.to_owned());
         }
-        self.settle(name);
+        self.execute_effects(name);
     }
 
-    // A new process also asks one that is running, which may itself be behind.
+    // A new process also reads the objects of a running one, which may be out of date itself.
     fn fetch_from_peer(&mut self, name: &str) {
         let others = self.machines.values().filter(|other| other.name != name);
         let running: Vec<_> = others.filter_map(|other| other.process.as_ref()).collect();
@@ -78,95 +78,110 @@
         }
         let peer = running[self.rng.random_range(0..running.len())];
         let objects = peer.role.known();
-        let delay = between(&mut self.rng, Span::ZERO, PEER_CALL);
-        self.push_on(delay, name, Local::PeerObjects(objects));
+        let delay = between(&mut self.rng, Span::ZERO, MAX_PEER_DELAY);
+        self.push_on(delay, name, MachineEvent::PeerObjects(objects));
     }
 
-    pub(super) fn on_machine(&mut self, name: Name, incarnation: u64, local: Local) {
+    pub(super) fn on_machine(
+        &mut self,
+        name: MachineName,
+        incarnation: u64,
+        machine_event: MachineEvent,
+    ) {
         let Some(machine) = self.machines.get_mut(&name) else {
             return;
         };
-        if machine.frozen > self.now {
-            let thaw = machine.frozen;
-            return self.push_at(thaw, Due::On(name, incarnation, local));
+        if machine.frozen_until > self.now {
+            let until = machine.frozen_until;
+            return self.push_at(
+                until,
+                ScheduledEvent::Machine(name, incarnation, machine_event),
+            );
         }
-        self.tally.note(self.now, &name, local.label());
-        if local.is_of_backend() {
-            return self.on_backend(&name, local);
+        self.tally
+            .trace_event(self.now, &name, machine_event.label());
+        if machine_event.is_for_backend() {
+            return self.on_backend(&name, machine_event);
         }
         if machine.process.is_none() || machine.incarnation != incarnation {
             return;
         }
-        self.on_process(&name, local);
-        self.settle(&name);
+        self.on_process(&name, machine_event);
+        self.execute_effects(&name);
     }
 
-    fn on_process(&mut self, name: &str, local: Local) {
+    fn on_process(&mut self, name: &str, machine_event: MachineEvent) {
         let machine = &mut self.machines[name];
         let now = machine.clock.read(self.now);
         let Some(process) = &mut machine.process else {
             return;
         };
-        match local {
-            Local::Message(from, message) => process.role.message(now, from, message),
-            // A timer that an earlier one replaced does nothing; else timers multiply.
-            Local::Timer if process.armed.is_some_and(|due| due <= self.now) => {
+        match machine_event {
+            MachineEvent::Message(from, message) => process.role.handle_message(now, from, message),
+            // Ignores a timer event that an earlier one replaced, or the events would multiply.
+            MachineEvent::Timer if process.armed.is_some_and(|due| due <= self.now) => {
                 process.armed = None;
                 process.role.tick(now);
             }
-            Local::Packet(packet) => {
+            MachineEvent::Packet(packet) => {
                 if let Some(balancer) = machine.balancer() {
-                    balancer.packet(packet);
+                    balancer.forward_packet(packet);
                 }
             }
-            Local::Poll => self.poll(name),
-            Local::PeerObjects(objects) => {
+            MachineEvent::Poll => self.poll(name),
+            MachineEvent::PeerObjects(objects) => {
                 let none = Version::default();
                 self.adopt(name, none, none, objects);
             }
-            Local::JoinFleet => self.join_fleet(name),
-            Local::ReadRoster(proposal, unsettled) => {
+            MachineEvent::JoinFleet => self.join_fleet(name),
+            MachineEvent::ReadRoster(proposal, unsettled) => {
                 self.read_roster(name, &proposal, unsettled.as_deref());
             }
-            Local::WriteRoster(write, roster) => {
+            MachineEvent::WriteRoster(write, roster) => {
                 if !self.is_store_cut(name)
                     && let Ok(version) = self.store.put(write, &mut self.rng)
                 {
                     self.note_removed(name, &roster);
                     let delay = self.network.delay();
-                    self.push_on(delay, name, Local::Written(Roster { version, ..roster }));
+                    self.push_on(
+                        delay,
+                        name,
+                        MachineEvent::RosterWritten(Roster { version, ..roster }),
+                    );
                     self.wake_watches();
                 }
             }
-            Local::Written(roster) => {
+            MachineEvent::RosterWritten(roster) => {
                 if let Some(agent) = machine.agent() {
-                    agent.written(&roster);
+                    agent.roster_written(&roster);
                 }
             }
-            Local::Result(id, result) => {
+            MachineEvent::BackendAnswer(id, result) => {
                 let event = match result {
                     RunResult::Finished(outcome) => Event::Finished { id, outcome },
                     RunResult::Refused => Event::Refused(id),
                 };
                 if let Some(agent) = machine.agent() {
-                    agent.feed(now, event);
+                    agent.handle_event(now, event);
                 }
             }
-            Local::Handover(call, from, transfers) => self.take_over(name, call, &from, transfers),
-            Local::HandedOver(to, taken) => self.handed_over(name, &to, taken),
-            Local::Timer | Local::Start(_) | Local::EndRun(_) => {}
+            MachineEvent::Handover(call, from, handover) => {
+                self.take_over(name, call, &from, handover);
+            }
+            MachineEvent::HandedOver(to, reply) => self.handed_over(name, &to, reply),
+            MachineEvent::Timer | MachineEvent::StartRun(_) | MachineEvent::EndRun(_) => {}
         }
     }
 
-    /// Carries out what a process asked for and arms its timer.
-    pub(super) fn settle(&mut self, name: &str) {
+    /// Executes the effects that a process requested and schedules its timer.
+    pub(super) fn execute_effects(&mut self, name: &str) {
         let machine = &mut self.machines[name];
         let Some(process) = &mut machine.process else {
             return;
         };
-        let effects = process.role.effects();
+        let effects = process.role.take_effects();
         for effect in effects {
-            self.carry(name, effect);
+            self.execute(name, effect);
         }
         let machine = &mut self.machines[name];
         let now = machine.clock.read(self.now);
@@ -181,7 +196,10 @@
             if process.armed.is_none_or(|armed| due < armed) {
                 process.armed = Some(due);
                 let incarnation = machine.incarnation;
-                self.push_at(due, Due::On(name.to_owned(), incarnation, Local::Timer));
+                self.push_at(
+                    due,
+                    ScheduledEvent::Machine(name.to_owned(), incarnation, MachineEvent::Timer),
+                );
             }
         }
     }
@@ -190,12 +208,12 @@
         self.collect_counts(name);
         let machine = &mut self.machines[name];
         machine.process = None;
-        if machine.again {
+        if machine.restart {
             self.start(name);
         }
     }
 
-    fn carry(&mut self, name: &str, effect: Effect) {
+    fn execute(&mut self, name: &str, effect: Effect) {
         match effect {
             Effect::Send { to, message } => {
                 let Some(receiver) = self.addresses.get(&to).cloned() else {
@@ -204,77 +222,98 @@
                 let from = self.machines[name].address;
                 for time in self.network.arrivals(self.now, name, &receiver) {
                     let incarnation = self.machines[&receiver].incarnation;
-                    let local = Local::Message(from, message.clone());
-                    self.push_at(time, Due::On(receiver.clone(), incarnation, local));
+                    let machine_event = MachineEvent::Message(from, message.clone());
+                    self.push_at(
+                        time,
+                        ScheduledEvent::Machine(receiver.clone(), incarnation, machine_event),
+                    );
                 }
             }
             Effect::Packet(packet) => {
                 for time in self.network.arrivals(self.now, name, "callers") {
-                    self.push_at(time, Due::ToCaller(packet.clone()));
+                    self.push_at(time, ScheduledEvent::CallerPacket(packet.clone()));
                 }
             }
-            Effect::Run(order) => self.push_on(LOOPBACK, name, Local::Start(order)),
+            Effect::Run(request) => {
+                self.push_on(LOOPBACK_DELAY, name, MachineEvent::StartRun(request));
+            }
             Effect::CancelRun(id) => {
                 if let Some(backend) = self.backends.get_mut(name) {
                     backend.cancel(id);
                 }
             }
-            Effect::HandOver { to, transfers } => self.hand_over(name, to.as_str(), transfers),
+            Effect::HandOver { to, handover } => self.hand_over(name, to.as_str(), handover),
             Effect::Propose {
                 proposal,
                 unsettled,
             } => {
                 let delay = self.network.delay() + self.network.delay();
-                self.push_on(delay, name, Local::ReadRoster(proposal, unsettled));
+                self.push_on(delay, name, MachineEvent::ReadRoster(proposal, unsettled));
             }
         }
     }
 
-    /// The fabric sends each packet to any balancer.
+    /// Sends each packet to a random balancer, as the fabric does.
     pub(super) fn spray(&mut self, packets: Vec<Packet>) {
         for packet in packets {
-            if self.spray.is_empty() {
+            if self.advertised.is_empty() {
                 return;
             }
             for time in self.network.arrivals(self.now, "callers", "fabric") {
-                let name = self.spray[self.rng.random_range(0..self.spray.len())].clone();
+                let name = self.advertised[self.rng.random_range(0..self.advertised.len())].clone();
                 let incarnation = self.machines[&name].incarnation;
-                let local = Local::Packet(packet.clone());
-                self.push_at(time, Due::On(name, incarnation, local));
+                let machine_event = MachineEvent::Packet(packet.clone());
+                self.push_at(
+                    time,
+                    ScheduledEvent::Machine(name, incarnation, machine_event),
+                );
             }
         }
     }
 
-    fn on_backend(&mut self, name: &str, local: Local) {
+    fn on_backend(&mut self, name: &str, machine_event: MachineEvent) {
         let Some(backend) = self.backends.get_mut(name) else {
             return;
         };
         let now = self.machines[name].clock.read(self.now);
-        match local {
-            Local::Start(order) => match backend.start(now, &order) {
-                Start::Refused => {
-                    self.push_on(LOOPBACK, name, Local::Result(order.id, RunResult::Refused));
+        match machine_event {
+            MachineEvent::StartRun(request) => match backend.start(now, &request) {
+                StartResult::Refused => {
+                    self.push_on(
+                        LOOPBACK_DELAY,
+                        name,
+                        MachineEvent::BackendAnswer(request.id, RunResult::Refused),
+                    );
                 }
-                Start::Failed(outcome) => {
+                StartResult::Failed(outcome) => {
                     let result = RunResult::Finished(outcome);
-                    self.push_on(LOOPBACK, name, Local::Result(order.id, result));
+                    self.push_on(
+                        LOOPBACK_DELAY,
+                        name,
+                        MachineEvent::BackendAnswer(request.id, result),
+                    );
                 }
-                Start::Running(takes) => self.run_order(name, order, takes),
+                StartResult::Running(takes) => self.run_request(name, request, takes),
             },
-            Local::EndRun(order) => {
-                let outcome = backend.end(&order, self.settings.answer);
+            MachineEvent::EndRun(request) => {
+                let outcome = backend.end(&request, self.settings.answer);
                 let result = RunResult::Finished(outcome);
-                self.push_on(LOOPBACK, name, Local::Result(order.id, result));
+                self.push_on(
+                    LOOPBACK_DELAY,
+                    name,
+                    MachineEvent::BackendAnswer(request.id, result),
+                );
             }
             _ => {}
         }
     }
 
-    fn run_order(&mut self, name: &str, order: Order, takes: Span) {
+    fn run_request(&mut self, name: &str, request: RunRequest, takes: Span) {
         if let Ok(host) = name.parse() {
-            self.caller.note_run(self.now, order.id, order.key, &host);
+            self.caller
+                .note_run(self.now, request.id, request.key, &host);
         }
         let takes = takes.scale(self.rng.random_range(0.5..1.5));
-        self.push_on(takes, name, Local::EndRun(order));
+        self.push_on(takes, name, MachineEvent::EndRun(request));
     }
 }
--- a/crates/scenario/src/world/inject.rs
+++ b/crates/scenario/src/simulation/inject.rs
@@ -3,28 +3,29 @@
 use rand::Rng;
 use usher_types::{FlowId, Peer, ServiceName, Span};
 
-use super::World;
+use super::Simulation;
 use crate::connection::Connection;
-use crate::due::{Due, Ending};
 use crate::fault::{BackendMode, Fault};
+use crate::scheduled_event::{Ending, ScheduledEvent};
 
-// The fabric notices a dead balancer after this time.
-const WITHDRAWAL: Span = Span::from_secs(1);
-const OPENING: Span = Span::from_millis(200);
+// Time until the fabric detects that a balancer is dead.
+const WITHDRAWAL_DELAY: Span = Span::from_secs(1);
+// Flows that are opened together send their first packets within this time.
+const MAX_OPENING_DELAY: Span = Span::from_millis(200);
 const FIRST_CALLER: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 1);
 const FIRST_PORT: u16 = 10_000;
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn inject(&mut self, fault: Fault) {
         match fault {
             Fault::Kill(peer) => self.kill(&name_of(&peer)),
-            Fault::StartBalancer(peer) => self.add(&name_of(&peer), None),
-            Fault::StartHost(host, service) => self.add(host.as_str(), Some(service)),
-            Fault::Stop { host, again } => {
-                if !again {
+            Fault::StartBalancer(peer) => self.start_machine(&name_of(&peer), None),
+            Fault::StartHost(host, service) => self.start_machine(host.as_str(), Some(service)),
+            Fault::Stop { host, restart } => {
+                if !restart {
                     self.tally.drains.push((host.to_string(), self.now));
                 }
-                self.drain(host.as_str(), true, again);
+                self.drain(host.as_str(), true, restart);
             }
             Fault::Drain(host) => {
                 self.tally.drains.push((host.to_string(), self.now));
@@ -33,35 +34,38 @@
             Fault::Freeze(peer, span) => {
                 let until = self.now + span;
                 if let Some(machine) = self.machines.get_mut(&name_of(&peer)) {
-                    machine.frozen = until;
+                    machine.frozen_until = until;
                 }
             }
             Fault::Cut(from, to, span) => self.network.cut(from, to, self.now + span),
             Fault::StoreDown(span) => {
                 self.store.down = true;
                 self.wake_watches();
-                self.push(span, Due::End(Ending::StoreDown));
+                self.push(span, ScheduledEvent::EndFault(Ending::StoreDown));
             }
             Fault::LoseAnswers(count) => self.store.lose_answers = count,
             Fault::StoreStale(span) => {
                 self.store.set_stale(true);
-                self.push(span, Due::End(Ending::StoreStale));
+                self.push(span, ScheduledEvent::EndFault(Ending::StoreStale));
             }
-            Fault::Set(profile, fields) => self.set_profile(&profile, &fields),
-            Fault::Race(profile, fields) => self.race(&profile, &fields),
-            Fault::Delete(profile) => self.delete_profile(&profile),
-            Fault::Swap(first, second) => self.swap(&first, &second),
-            Fault::Move(service, address) => self.move_service(&service, address),
+            Fault::SetProfile(profile, fields) => self.set_profile(&profile, &fields),
+            Fault::RaceProfile(profile, fields) => self.race_profile(&profile, &fields),
+            Fault::DeleteProfile(profile) => self.delete_profile(&profile),
+            Fault::Swap(first, second) => self.swap_addresses(&first, &second),
+            Fault::MoveService(service, address) => self.move_service(&service, address),
             Fault::Backend(host, mode, span) => {
                 self.set_backend(host.as_str(), mode);
-                self.push(span, Due::End(Ending::Backend(host.to_string())));
+                self.push(
+                    span,
+                    ScheduledEvent::EndFault(Ending::Backend(host.to_string())),
+                );
             }
-            Fault::Open(count, service) => self.open(count, &service),
+            Fault::OpenFlows(count, service) => self.open_flows(count, &service),
             Fault::Setting(setting) => self.set(setting),
         }
     }
 
-    pub(super) fn end(&mut self, ending: &Ending) {
+    pub(super) fn end_fault(&mut self, ending: &Ending) {
         match ending {
             Ending::StoreDown => self.store.down = false,
             Ending::StoreStale => {
@@ -77,11 +81,11 @@
         if let Some(machine) = self.machines.get_mut(name) {
             machine.process = None;
             self.backends.remove(name);
-            self.push(WITHDRAWAL, Due::Withdraw(name.to_owned()));
+            self.push(WITHDRAWAL_DELAY, ScheduledEvent::Withdraw(name.to_owned()));
         }
     }
 
-    fn add(&mut self, name: &str, service: Option<ServiceName>) {
+    fn start_machine(&mut self, name: &str, service: Option<ServiceName>) {
         if !self.machines.contains_key(name) {
             let specs = &self.scenario.services;
             let spec = specs
@@ -98,15 +102,15 @@
         self.start(name);
     }
 
-    fn drain(&mut self, name: &str, stop: bool, again: bool) {
+    fn drain(&mut self, name: &str, stop: bool, restart: bool) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        machine.again = again;
+        machine.restart = restart;
         let now = machine.clock.read(self.now);
         if let Some(agent) = machine.agent() {
             agent.begin_drain(now, stop);
-            self.settle(name);
+            self.execute_effects(name);
         }
     }
 
@@ -116,7 +120,7 @@
         }
     }
 
-    fn open(&mut self, count: usize, service: &ServiceName) {
+    fn open_flows(&mut self, count: usize, service: &ServiceName) {
         let cache = self.read_all();
         let Some(address) = cache.service(service).map(|entry| entry.address) else {
             return;
@@ -128,7 +132,8 @@
                 service: address,
                 nonce: self.rng.random(),
             };
-            let begin = self.now + crate::network::between(&mut self.rng, Span::ZERO, OPENING);
+            let begin =
+                self.now + crate::network::between(&mut self.rng, Span::ZERO, MAX_OPENING_DELAY);
             let connection = Connection::new(begin, flow, service.clone());
             let number = self.caller.open(connection);
             self.arm_caller(number);
--- a/crates/scenario/src/world/measure.rs
+++ b/crates/scenario/src/simulation/measure.rs
@@ -3,13 +3,13 @@
 use usher_config::Value;
 use usher_types::{Outcome, Roster, Span};
 
-use super::{World, roster_key};
+use super::{Simulation, roster_key};
 use crate::Report;
-use crate::caller::Ask;
+use crate::caller::TrackedRequest;
 use crate::expectation::Expectation;
 
-impl World<'_> {
-    /// Measures the run and compares it with the expectations.
+impl Simulation<'_> {
+    /// Computes the figures of the run and compares them with the expectations.
     pub(super) fn report(mut self) -> Report {
         let names: Vec<String> = self.machines.keys().cloned().collect();
         for name in names {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Hosts that another one removed from their roster.
+    /// Records the hosts that a process other than their own removed from the roster.
     pub(super) fn note_removed(&mut self, writer: &str, roster: &Roster) {
         if let Some(before) = roster.earlier.first() {
             let gone = before.members.keys();
@@ -74,19 +74,22 @@
     }
 
     fn figures(&self) -> BTreeMap<String, f64> {
-        let asks = || self.caller.asks.values();
-        let count = |test: &dyn Fn(&Ask) -> bool| asks().filter(|ask| test(ask)).count() as f64;
-        let told = |test: &dyn Fn(&Outcome) -> bool| {
-            count(&|ask| {
-                ask.sent
+        let requests = || self.caller.requests.values();
+        let count = |test: &dyn Fn(&TrackedRequest) -> bool| {
+            requests().filter(|tracked| test(tracked)).count() as f64
+        };
+        let replied = |test: &dyn Fn(&Outcome) -> bool| {
+            count(&|tracked| {
+                tracked
+                    .transmissions
                     .values()
-                    .filter_map(|sent| sent.told.as_ref())
+                    .filter_map(|transmission| transmission.reply.as_ref())
                     .any(test)
             })
         };
         let calls: u64 = self.backends.values().map(|backend| backend.calls).sum();
-        let runs: usize = asks().map(|ask| ask.runs.len()).sum();
-        let once = asks().filter(|ask| ask.load.once);
+        let runs: usize = requests().map(|tracked| tracked.runs.len()).sum();
+        let once = requests().filter(|tracked| tracked.load.once);
         let running = self
             .machines
             .values()
@@ -96,39 +99,41 @@
             ("accepted", self.tally.accepted() as f64),
             (
                 "answered",
-                told(&|outcome| matches!(outcome, Outcome::Answered(_))),
+                replied(&|outcome| matches!(outcome, Outcome::Answered(_))),
             ),
             ("broken_flows", self.broken_flows() as f64),
             (
                 "calls_per_request",
-                calls as f64 / (asks().count() as f64).max(1.0),
+                calls as f64 / (requests().count() as f64).max(1.0),
             ),
             ("conflicts", self.tally.conflicts as f64),
             ("damaged", self.caller.damaged as f64),
             (
                 "failed",
-                told(&|outcome| matches!(outcome, Outcome::Failed(_))),
+                replied(&|outcome| matches!(outcome, Outcome::Failed(_))),
             ),
             ("in_force", self.tally.in_force(self.now)),
             ("misrouted", self.misrouted() as f64),
             (
                 "not_run",
-                told(&|outcome| matches!(outcome, Outcome::NotRun { .. })),
+                replied(&|outcome| matches!(outcome, Outcome::NotRun { .. })),
             ),
             ("not_run_after_run", count(&ran_before)),
             ("not_run_but_ran", count(&ran_itself)),
             ("opened", opened.count() as f64),
             ("removed", self.tally.removed.len() as f64),
-            ("requests", asks().count() as f64),
+            ("requests", requests().count() as f64),
             ("reverted", self.tally.reverted as f64),
             ("running_agents", running.count() as f64),
             ("runs", runs as f64),
             (
                 "runs_per_key",
-                once.map(|ask| ask.runs.len()).max().unwrap_or_default() as f64,
+                once.map(|tracked| tracked.runs.len())
+                    .max()
+                    .unwrap_or_default() as f64,
             ),
-            ("unanswered", count(&|ask| !ask.is_answered())),
-            ("unknown", told(&|outcome| *outcome == Outcome::Unknown)),
+            ("unanswered", count(&|tracked| !tracked.is_answered())),
+            ("unknown", replied(&|outcome| *outcome == Outcome::Unknown)),
         ])
         .into_iter()
         .map(|(name, figure)| (name.to_owned(), figure))
@@ -151,11 +156,11 @@
         }
     }
 
-    // Reset, never accepted, or with a request that nobody answered.
+    // Counts flows that were reset, were never accepted, or have an unanswered request.
     fn broken_flows(&self) -> usize {
-        let asks = self.caller.asks.values();
-        let sent = asks.flat_map(|ask| &ask.sent);
-        let waiting = sent.filter(|(_, sent)| sent.told.is_none());
+        let requests = self.caller.requests.values();
+        let transmissions = requests.flat_map(|tracked| &tracked.transmissions);
+        let waiting = transmissions.filter(|(_, transmission)| transmission.reply.is_none());
         let mut broken: Vec<_> = waiting.map(|(id, _)| id.flow).collect();
         let closed = self.caller.flows.iter().filter(|flow| !flow.is_open());
         broken.extend(closed.map(|flow| flow.flow));
@@ -164,21 +169,25 @@
         broken.len()
     }
 
-    // Answers of another service, and runs at a host of another service.
+    // Counts answers from another service and requests that ran on a host of another service.
     fn misrouted(&self) -> usize {
-        let is_foreign = |ask: &&Ask| {
-            let mut hosts = ask.runs.iter().map(|(_, host, _)| host.as_str());
+        let is_foreign = |tracked: &&TrackedRequest| {
+            let mut hosts = tracked.runs.iter().map(|(_, host, _)| host.as_str());
             hosts.any(|host| {
                 let machine = self.machines.get(host);
-                machine.and_then(|machine| machine.service.as_ref()) != Some(&ask.load.service)
+                machine.and_then(|machine| machine.service.as_ref()) != Some(&tracked.load.service)
             })
         };
-        let foreign = self.caller.asks.values().filter(is_foreign).count();
+        let foreign = self.caller.requests.values().filter(is_foreign).count();
         foreign + self.caller.misrouted as usize
     }
 
     fn runs_after_drain(&self, after: Span) -> usize {
-        let runs = self.caller.asks.values().flat_map(|ask| &ask.runs);
+        let runs = self
+            .caller
+            .requests
+            .values()
+            .flat_map(|tracked| &tracked.runs);
         runs.filter(|(_, host, time)| {
             let mut drains = self.tally.drains.iter();
             drains.any(|(drained, begin)| drained == host.as_str() && *time > *begin + after)
@@ -187,17 +196,21 @@
     }
 }
 
-// The very transmission that was told "not run" ran.
-fn ran_itself(ask: &Ask) -> bool {
-    let mut told = ask.not_run();
-    told.any(|(id, _)| ask.runs.iter().any(|(ran, _, _)| ran == id))
+// Whether a transmission ran although its reply was "not run".
+fn ran_itself(tracked: &TrackedRequest) -> bool {
+    let mut not_run = tracked.not_run();
+    not_run.any(|(id, _)| tracked.runs.iter().any(|(ran, _, _)| ran == id))
 }
 
-// A repetition was told "not run" although an earlier transmission ran.
-fn ran_before(ask: &Ask) -> bool {
-    let mut told = ask.not_run();
-    told.any(|(_, refused)| {
-        let ran = ask.runs.iter().filter_map(|(id, _, _)| ask.sent.get(id));
-        ran.into_iter().any(|sent| sent.time < refused.time)
+// Whether the reply to a transmission was "not run" although an earlier one ran.
+fn ran_before(tracked: &TrackedRequest) -> bool {
+    let mut not_run = tracked.not_run();
+    not_run.any(|(_, refused)| {
+        let ran = tracked
+            .runs
+            .iter()
+            .filter_map(|(id, _, _)| tracked.transmissions.get(id));
+        ran.into_iter()
+            .any(|transmission| transmission.time < refused.time)
     })
 }
--- a/crates/scenario/src/world/mod.rs
+++ b/crates/scenario/src/simulation/mod.rs
@@ -1,8 +1,8 @@
-mod carry;
+mod execute;
 mod handover;
 mod inject;
 mod measure;
-mod operate;
+mod operator;
 mod watch;
 
 use std::collections::{BTreeMap, HashMap};
@@ -19,42 +19,43 @@
 use crate::backend::Backend;
 use crate::caller::Caller;
 use crate::clock::Clock;
-use crate::due::{Due, Local, Name};
 use crate::fault::Setting;
 use crate::machine::Machine;
 use crate::network::{Network, between};
+use crate::scheduled_event::{MachineEvent, MachineName, ScheduledEvent};
 use crate::store::Store;
 use crate::tally::Tally;
 use crate::{Report, Scenario};
 
-/// Processes join before the scenario's time 0.
+/// Time for all processes to join before time 0 of the scenario.
 const WARM_UP: Span = Span::from_secs(20);
-/// Requests that are open at the end of the run may still be answered.
-const GRACE: Span = Span::from_secs(15);
+/// Time after the run in which open requests may still be answered.
+const GRACE_PERIOD: Span = Span::from_secs(15);
 const BUCKETS: Buckets = Buckets::new(64);
 const MAX_EVENTS: u64 = 1_000_000;
 const FIRST_PORT: u16 = 7_000;
 
-/// One run: the processes, the fakes around them and what is due.
+/// One run: the processes, the fakes around them and the event queue.
 #[derive(Debug)]
-pub(crate) struct World<'a> {
+pub(crate) struct Simulation<'a> {
     scenario: &'a Scenario,
     seed: u64,
     now: Time,
     rng: Pcg64,
-    queue: BTreeMap<(Time, u64), Due>,
+    // Scheduled events by time and order of scheduling.
+    queue: BTreeMap<(Time, u64), ScheduledEvent>,
     sequence: u64,
     network: Network,
     store: Store,
-    machines: IndexMap<Name, Machine>,
-    addresses: HashMap<SocketAddrV4, Name>,
-    backends: HashMap<Name, Backend>,
-    // Balancers that the fabric sends packets to.
-    spray: Vec<Name>,
+    machines: IndexMap<MachineName, Machine>,
+    addresses: HashMap<SocketAddrV4, MachineName>,
+    backends: HashMap<MachineName, Backend>,
+    // Balancers that the fabric sends packets to, also for a while after their death.
+    advertised: Vec<MachineName>,
     caller: Caller,
     tally: Tally,
-    // Handovers whose sender still waits.
-    handovers: HashMap<u64, (Name, u64, Name)>,
+    // Unanswered handovers by call number: sender, its incarnation and receiver.
+    handovers: HashMap<u64, (MachineName, u64, MachineName)>,
     settings: Settings,
 }
 
@@ -66,7 +67,7 @@
     answer: usize,
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     pub(crate) fn new(scenario: &'a Scenario, seed: u64) -> Self {
         let mut rng = Pcg64::seed_from_u64(seed);
         let network = Network::new(rng.random());
@@ -82,7 +83,7 @@
             machines: IndexMap::new(),
             addresses: HashMap::new(),
             backends: HashMap::new(),
-            spray: Vec::new(),
+            advertised: Vec::new(),
             caller: Caller::default(),
             tally: Tally::default(),
             handovers: HashMap::new(),
@@ -98,16 +99,19 @@
     }
 
     pub(crate) fn run(mut self) -> Report {
-        let end = Time::ZERO + WARM_UP + self.scenario.run + GRACE;
+        let end = Time::ZERO + WARM_UP + self.scenario.run + GRACE_PERIOD;
         let mut events = 0;
-        while let Some(((time, _), due)) = self.queue.pop_first() {
+        while let Some(((time, _), event)) = self.queue.pop_first() {
             if time > end {
                 break;
             }
             events += 1;
-            assert!(events < MAX_EVENTS, "no end at {time}: {due:?}");
+            assert!(
+                events < MAX_EVENTS,
+                "run reached {MAX_EVENTS} events at {time}: {event:?}"
+            );
             self.now = self.now.max(time);
-            self.handle(due);
+            self.handle(event);
         }
         self.now = end;
         self.report()
@@ -131,14 +135,14 @@
             }
         }
         for (time, fault) in &scenario.faults {
-            self.push(WARM_UP + *time, Due::Fault(fault.clone()));
+            self.push(WARM_UP + *time, ScheduledEvent::Fault(fault.clone()));
         }
         for (number, load) in scenario.loads.iter().enumerate() {
-            self.push(WARM_UP + load.every, Due::Request(number));
+            self.push(WARM_UP + load.every, ScheduledEvent::Request(number));
         }
     }
 
-    // Writes a service and its profile as an operator did before the run.
+    // Writes a service and its profile to the store, as an operator does before the run.
     fn declare(&mut self, name: &ServiceName, profile: &usher_types::ProfileName) {
         let values = [
             Value::from(Profile {
@@ -157,7 +161,7 @@
                 Condition::Absent,
                 Some(value),
             );
-            // A profile that an earlier service uses too is there already.
+            // The write of a profile fails if an earlier service uses it too.
             let _exists = self.store.put(write, &mut self.rng);
         }
     }
@@ -181,7 +185,7 @@
         Write { id, change }
     }
 
-    fn add_machine(&mut self, name: Name, centre: DataCentre, service: Option<ServiceName>) {
+    fn add_machine(&mut self, name: MachineName, centre: DataCentre, service: Option<ServiceName>) {
         let port = FIRST_PORT + self.machines.len() as u16;
         let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, port);
         let origin = between(&mut self.rng, Span::ZERO, Span::from_secs(1_000));
@@ -203,53 +207,62 @@
             centre,
             service,
             clock: Clock::new(Time::ZERO + origin, drift),
-            frozen: Time::ZERO,
+            frozen_until: Time::ZERO,
             incarnation: 0,
             process: None,
-            again: false,
+            restart: false,
         };
         self.machines.insert(name, machine);
     }
 
-    fn push(&mut self, after: Span, due: Due) {
-        self.push_at(self.now + after, due);
+    fn push(&mut self, after: Span, event: ScheduledEvent) {
+        self.push_at(self.now + after, event);
     }
 
-    fn push_at(&mut self, time: Time, due: Due) {
+    fn push_at(&mut self, time: Time, event: ScheduledEvent) {
         self.sequence += 1;
-        self.queue.insert((time.max(self.now), self.sequence), due);
+        self.queue
+            .insert((time.max(self.now), self.sequence), event);
     }
 
-    fn push_on(&mut self, after: Span, name: &str, local: Local) {
+    fn push_on(&mut self, after: Span, name: &str, machine_event: MachineEvent) {
         let incarnation = self
             .machines
             .get(name)
             .map_or(0, |machine| machine.incarnation);
-        self.push(after, Due::On(name.to_owned(), incarnation, local));
+        self.push(
+            after,
+            ScheduledEvent::Machine(name.to_owned(), incarnation, machine_event),
+        );
     }
 
-    fn handle(&mut self, due: Due) {
-        match due {
-            Due::On(name, incarnation, local) => self.on_machine(name, incarnation, local),
-            Due::ToCaller(packet) => {
-                let number = self.caller.number(&packet.flow);
+    fn handle(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Machine(name, incarnation, machine_event) => {
+                self.on_machine(name, incarnation, machine_event);
+            }
+            ScheduledEvent::CallerPacket(packet) => {
+                let number = self.caller.position(&packet.flow);
                 let packets = self.caller.receive(self.now, packet, self.settings.answer);
                 self.spray(packets);
                 if let Some(number) = number {
                     self.arm_caller(number);
                 }
             }
-            Due::TimedOut(call) => {
+            ScheduledEvent::HandoverTimeout(call) => {
                 if let Some((name, incarnation, to)) = self.handovers.remove(&call) {
-                    let local = Local::HandedOver(to, None);
-                    self.push(Span::ZERO, Due::On(name, incarnation, local));
+                    let machine_event = MachineEvent::HandedOver(to, None);
+                    self.push(
+                        Span::ZERO,
+                        ScheduledEvent::Machine(name, incarnation, machine_event),
+                    );
                 }
             }
-            Due::Fault(fault) => self.inject(fault),
-            Due::End(ending) => self.end(&ending),
-            Due::Operator(writes) => self.operate(writes),
-            Due::Request(load) => self.request(load),
-            Due::CallerTimer(number) => {
+            ScheduledEvent::Fault(fault) => self.inject(fault),
+            ScheduledEvent::EndFault(ending) => self.end_fault(&ending),
+            ScheduledEvent::OperatorWrites(writes) => self.write_as_operator(writes),
+            ScheduledEvent::Request(load) => self.request(load),
+            ScheduledEvent::CallerTimer(number) => {
                 let flow = &mut self.caller.flows[number];
                 if flow.next_timer().is_some_and(|due| due <= self.now) {
                     let packets = flow.tick(self.now);
@@ -257,30 +270,30 @@
                     self.arm_caller(number);
                 }
             }
-            Due::Resend(key) => self.resend(key),
-            Due::Withdraw(name) => self.spray.retain(|other| *other != name),
+            ScheduledEvent::Resend(key) => self.resend(key),
+            ScheduledEvent::Withdraw(name) => self.advertised.retain(|other| *other != name),
         }
     }
 
     fn request(&mut self, number: usize) {
         let load = self.scenario.loads[number].clone();
         if self.now + load.every <= Time::ZERO + WARM_UP + self.scenario.run {
-            self.push(load.every, Due::Request(number));
+            self.push(load.every, ScheduledEvent::Request(number));
         }
-        let usable = self.caller.usable(&load);
-        if usable.is_empty() {
+        let open_flows = self.caller.open_flows(&load);
+        if open_flows.is_empty() {
             return;
         }
         let key = RequestKey::new(self.rng.random());
-        self.caller.ask(self.now, key, load);
-        let flow = usable[self.rng.random_range(0..usable.len())];
+        self.caller.track(self.now, key, load);
+        let flow = open_flows[self.rng.random_range(0..open_flows.len())];
         self.transmit(key, flow);
         if self.rng.random_bool(self.settings.twice) {
-            let flow = usable[self.rng.random_range(0..usable.len())];
+            let flow = open_flows[self.rng.random_range(0..open_flows.len())];
             self.transmit(key, flow);
         }
         if let Some((after, _)) = self.settings.resend {
-            self.push(after, Due::Resend(key));
+            self.push(after, ScheduledEvent::Resend(key));
         }
     }
 
@@ -288,18 +301,18 @@
         let Some((after, attempts)) = self.settings.resend else {
             return;
         };
-        let Some(ask) = self.caller.asks.get_mut(&key) else {
+        let Some(tracked) = self.caller.requests.get_mut(&key) else {
             return;
         };
-        if ask.is_answered() || ask.attempts >= attempts {
+        if tracked.is_answered() || tracked.attempts >= attempts {
             return;
         }
-        ask.attempts += 1;
-        let load = ask.load.clone();
-        let usable = self.caller.usable(&load);
-        let flow = usable[self.rng.random_range(0..usable.len())];
+        tracked.attempts += 1;
+        let load = tracked.load.clone();
+        let open_flows = self.caller.open_flows(&load);
+        let flow = open_flows[self.rng.random_range(0..open_flows.len())];
         self.transmit(key, flow);
-        self.push(after, Due::Resend(key));
+        self.push(after, ScheduledEvent::Resend(key));
     }
 
     fn transmit(&mut self, key: RequestKey, flow: usize) {
@@ -310,7 +323,7 @@
 
     fn arm_caller(&mut self, number: usize) {
         if let Some(due) = self.caller.flows[number].next_timer() {
-            self.push_at(due, Due::CallerTimer(number));
+            self.push_at(due, ScheduledEvent::CallerTimer(number));
         }
     }
 
@@ -324,7 +337,7 @@
         }
     }
 
-    /// The current version of a kind's objects as an operator reads them.
+    /// All objects of the store, as an operator reads them.
     fn read_all(&mut self) -> Cache {
         let (through, objects) = self.store.since(Version::default(), &mut self.rng);
         let mut cache = Cache::default();
--- a/crates/scenario/src/world/operate.rs
+++ b/crates/scenario/src/simulation/operator.rs
@@ -3,15 +3,15 @@
 
 use rand::Rng;
 
-use super::World;
-use crate::due::Due;
+use super::Simulation;
+use crate::scheduled_event::ScheduledEvent;
 use crate::store::Failure;
 
-// An operator's command reads, checks and writes within this time.
-const COMMAND: Span = Span::from_millis(20);
-const BETWEEN_COMMANDS: Span = Span::from_millis(500);
+// Time from the read of an operator's command to its write.
+const COMMAND_TIME: Span = Span::from_millis(20);
+const COMMAND_INTERVAL: Span = Span::from_millis(500);
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn set_profile(&mut self, name: &ProfileName, fields: &[String]) {
         let cache = self.read_all();
         let mut profile = cache.profile(name).cloned().unwrap_or(Profile {
@@ -24,8 +24,8 @@
         self.apply(vec![(profile_key(name), Some(profile.into()))]);
     }
 
-    /// Both operators read before either of them writes.
-    pub(super) fn race(&mut self, name: &ProfileName, fields: &[String; 2]) {
+    /// Two operators change one profile; both read it before either of them writes.
+    pub(super) fn race_profile(&mut self, name: &ProfileName, fields: &[String; 2]) {
         for field in fields {
             self.set_profile(name, std::slice::from_ref(field));
         }
@@ -35,8 +35,8 @@
         self.apply(vec![(profile_key(name), None)]);
     }
 
-    /// An address is in use at most once, so the first service moves to a free one in between.
-    pub(super) fn swap(&mut self, first: &ServiceName, second: &ServiceName) {
+    /// Exchanges two addresses by way of a free one, as no two services may share an address.
+    pub(super) fn swap_addresses(&mut self, first: &ServiceName, second: &ServiceName) {
         let (one, two) = (self.service_address(first), self.service_address(second));
         let mut free = one;
         free.set_port(one.port() + 1);
@@ -44,8 +44,11 @@
             .into_iter()
             .enumerate()
         {
-            let fault = crate::fault::Fault::Move(name.clone(), address);
-            self.push(BETWEEN_COMMANDS * number as u64, Due::Fault(fault));
+            let fault = crate::fault::Fault::MoveService(name.clone(), address);
+            self.push(
+                COMMAND_INTERVAL * number as u64,
+                ScheduledEvent::Fault(fault),
+            );
         }
     }
 
@@ -62,7 +65,7 @@
         }
     }
 
-    // Checks changes as a whole and writes them after the operator's read.
+    // Checks the changes together and schedules their writes.
     fn apply(&mut self, values: Vec<(ObjectKey, Option<Value>)>) {
         let cache = self.read_all();
         let changes = values.into_iter().map(|(key, value)| Change {
@@ -83,10 +86,10 @@
             change,
         });
         let writes = writes.collect();
-        self.push(COMMAND, Due::Operator(writes));
+        self.push(COMMAND_TIME, ScheduledEvent::OperatorWrites(writes));
     }
 
-    pub(super) fn operate(&mut self, writes: Vec<Write>) {
+    pub(super) fn write_as_operator(&mut self, writes: Vec<Write>) {
         for write in writes {
             if self.store.down {
                 *self
--- a/crates/scenario/src/world/watch.rs
+++ b/crates/scenario/src/simulation/watch.rs
@@ -2,16 +2,16 @@
 use usher_members::Proposal;
 use usher_types::{Balancer, Fleet, Incarnation, Peer, Roster, Span, Time, Version};
 
-use super::{World, roster_key};
-use crate::due::{Local, Name};
+use super::{Simulation, roster_key};
 use crate::network::between;
+use crate::scheduled_event::{MachineEvent, MachineName};
 
-const WATCH_RETRY: Span = Span::from_millis(500);
-const JOIN_RETRY: Span = Span::from_millis(300);
+const WATCH_RETRY_DELAY: Span = Span::from_millis(500);
+const JOIN_RETRY_DELAY: Span = Span::from_millis(300);
 
-// The store as processes see it: watches, fleet entries and roster writes.
+// Access of processes to the store: watches, fleet entries and roster writes.
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn is_store_cut(&self, name: &str) -> bool {
         self.store.down || self.network.is_cut(self.now, name, "store")
     }
@@ -26,11 +26,11 @@
         process.polling = false;
         if process.store_up != Some(up) {
             process.store_up = Some(up);
-            process.role.store(now, up);
+            process.role.set_store_up(now, up);
         }
         if !up {
             process.polling = true;
-            return self.push_on(WATCH_RETRY, name, Local::Poll);
+            return self.push_on(WATCH_RETRY_DELAY, name, MachineEvent::Poll);
         }
         let after = process.since;
         let (through, objects) = self.store.since(after, &mut self.rng);
@@ -49,16 +49,16 @@
         let now = machine.clock.read(self.now);
         let incarnation = machine.incarnation;
         if let Some(process) = &mut machine.process {
-            process.role.objects(now, after, through, objects);
+            process.role.adopt_objects(now, after, through, objects);
             let known = process.role.known();
             self.tally.note_objects(name, incarnation, &known);
         }
         self.note_revisions();
     }
 
-    /// Every watch answers after its own delay.
+    /// Schedules a poll of every process after a random delay of its own.
     pub(super) fn wake_watches(&mut self) {
-        let names: Vec<Name> = self.machines.keys().cloned().collect();
+        let names: Vec<MachineName> = self.machines.keys().cloned().collect();
         for name in names {
             let (least, greatest) = self.settings.watch;
             let delay = between(&mut self.rng, least, greatest);
@@ -66,14 +66,14 @@
                 && !process.polling
             {
                 process.polling = true;
-                self.push_on(delay, &name, Local::Poll);
+                self.push_on(delay, &name, MachineEvent::Poll);
             }
         }
     }
 
     pub(super) fn join_fleet(&mut self, name: &str) {
         if self.is_store_cut(name) {
-            return self.push_on(JOIN_RETRY, name, Local::JoinFleet);
+            return self.push_on(JOIN_RETRY_DELAY, name, MachineEvent::JoinFleet);
         }
         let machine = &self.machines[name];
         let Peer::Instance(instance) = machine.peer() else {
@@ -94,7 +94,7 @@
         let write = self.write(key, condition(current.as_ref()), Some(fleet.into()));
         match self.store.put(write, &mut self.rng) {
             Ok(_) => self.wake_watches(),
-            Err(_) => self.push_on(JOIN_RETRY, name, Local::JoinFleet),
+            Err(_) => self.push_on(JOIN_RETRY_DELAY, name, MachineEvent::JoinFleet),
         }
     }
 
@@ -121,7 +121,7 @@
         let value = Some(Value::Roster(changed.clone()));
         let write = self.write(key, condition(current.as_ref()), value);
         let delay = self.network.delay() + self.network.delay();
-        self.push_on(delay, name, Local::WriteRoster(write, changed));
+        self.push_on(delay, name, MachineEvent::WriteRoster(write, changed));
     }
 
     pub(super) fn note_revisions(&mut self) {
@@ -138,7 +138,7 @@
     }
 }
 
-// A tombstone is replaced on condition of its version, like a value.
+// The condition on a tombstone is its version, as for an object with a value.
 fn condition(current: Option<&Object>) -> Condition {
     current.map_or(Condition::Absent, |object| {
         Condition::Version(object.version)
--- a/crates/scenario/src/statement.rs
+++ b/crates/scenario/src/statement.rs
@@ -6,7 +6,7 @@
 use crate::expectation::{Expectation, Relation};
 use crate::fault::{BackendMode, Fault, Setting};
 
-/// One line of a scenario.
+/// One parsed line of a scenario.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Statement {
     Seed(u64),
@@ -18,7 +18,7 @@
     Expect(Expectation),
 }
 
-/// A service and its hosts.
+/// Declares a service and its hosts.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct ServiceSpec {
     pub(crate) name: ServiceName,
@@ -28,19 +28,21 @@
     pub(crate) centre: DataCentre,
 }
 
-/// Requests of one kind at a fixed rate.
+/// Requests to one method of a service, sent at a fixed interval.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Load {
     pub(crate) every: Span,
     pub(crate) method: String,
     pub(crate) service: ServiceName,
+    /// Mean duration of a run; the actual one lies between 0.5 and 1.5 times as much.
     pub(crate) takes: Span,
     pub(crate) deadline: Span,
+    /// Whether the request must run at most once.
     pub(crate) once: bool,
 }
 
 impl Statement {
-    /// Reads one line that is neither empty nor a comment.
+    /// Parses one line that is neither empty nor a comment.
     pub(crate) fn parse(line: usize, text: &str) -> Result<Self, Cause> {
         let words: Vec<&str> = text.split_whitespace().collect();
         Ok(match words.as_slice() {
@@ -137,20 +139,20 @@
         ["store", "down", "for", span] => Fault::StoreDown(span.parse()?),
         ["store", "lose-answers", count] => Fault::LoseAnswers(value(count)?),
         ["store", "stale", "for", span] => Fault::StoreStale(span.parse()?),
-        ["set", "profile", name, fields @ ..] => Fault::Set(
+        ["set", "profile", name, fields @ ..] => Fault::SetProfile(
             name.parse()?,
             fields.iter().map(|field| (*field).to_owned()).collect(),
         ),
         ["race", "profile", name, first, "/", second] => {
             let fields = [(*first).to_owned(), (*second).to_owned()];
-            Fault::Race(name.parse()?, fields)
+            Fault::RaceProfile(name.parse()?, fields)
         }
-        ["delete", "profile", name] => Fault::Delete(name.parse()?),
+        ["delete", "profile", name] => Fault::DeleteProfile(name.parse()?),
         ["swap", "addresses", first, second] => Fault::Swap(first.parse()?, second.parse()?),
         ["backend", host, mode, "for", span] => {
             Fault::Backend(host.parse()?, backend_mode(mode)?, span.parse()?)
         }
-        ["open", count, "flows", service] => Fault::Open(value(count)?, service.parse()?),
+        ["open", count, "flows", service] => Fault::OpenFlows(value(count)?, service.parse()?),
         rest => Fault::Setting(setting(rest)?),
     })
 }
@@ -171,9 +173,9 @@
     })
 }
 
-fn stop(host: &str, again: bool) -> Result<Fault, Cause> {
+fn stop(host: &str, restart: bool) -> Result<Fault, Cause> {
     let host = host.parse()?;
-    Ok(Fault::Stop { host, again })
+    Ok(Fault::Stop { host, restart })
 }
 
 fn peer(kind: &str, name: &str) -> Result<Peer, Cause> {
--- a/crates/scenario/src/store.rs
+++ b/crates/scenario/src/store.rs
@@ -4,30 +4,31 @@
 use usher_config::{Answer, Condition, Object, ObjectKey, Pending, Step, Write};
 use usher_types::Version;
 
+// Attempts at one write before its result is given up as unknown.
 const MAX_STEPS: usize = 8;
 
-/// Why a conditional write has no version.
+/// Reason why a conditional write failed or has an unknown result.
 #[derive(Debug)]
 pub(crate) enum Failure {
-    /// Another write came first.
+    /// Another write changed the object first.
     Conflict,
-    /// The store did not say what became of it.
+    /// The result of the write remained unknown.
     NoAnswer,
 }
 
-/// The platform's store with its faults.
+/// Fake of the platform's store with injected faults.
 #[derive(Debug, Default)]
 pub(crate) struct Store {
     pub(crate) down: bool,
     pub(crate) lose_answers: u32,
     last: Version,
     objects: BTreeMap<ObjectKey, Object>,
-    // What a stale replica still shows.
+    // State of a stale replica; half of the reads see it.
     replica: Option<(Version, BTreeMap<ObjectKey, Object>)>,
 }
 
 impl Store {
-    /// Lets half of the reads see the present state for as long as the replica is stale.
+    /// Makes half of the reads see the present state until the replica is no longer stale.
     pub(crate) fn set_stale(&mut self, stale: bool) {
         self.replica = stale.then(|| (self.last, self.objects.clone()));
     }
@@ -36,19 +37,19 @@
         self.view(rng).1.get(key).cloned()
     }
 
-    /// The object as it is, whatever replicas show.
+    /// Current state of an object, read past a stale replica.
     pub(crate) fn latest(&self, key: &ObjectKey) -> Option<&Object> {
         self.objects.get(key)
     }
 
-    /// Objects above a version, and the version up to which they are complete.
+    /// Objects newer than `version`, and the version up to which they are complete.
     pub(crate) fn since(&self, version: Version, rng: &mut impl Rng) -> (Version, Vec<Object>) {
         let (last, objects) = self.view(rng);
         let newer = objects.values().filter(|object| object.version > version);
         (last, newer.cloned().collect())
     }
 
-    /// Carries a write out and resolves lost answers as the platform client does.
+    /// Writes an object and resolves lost answers as the platform client does.
     pub(crate) fn put(&mut self, write: Write, rng: &mut impl Rng) -> Result<Version, Failure> {
         let mut pending = Pending::new(write);
         for _ in 0..MAX_STEPS {
@@ -63,7 +64,7 @@
             match step {
                 Step::Done(version) => return Ok(version),
                 Step::Conflict(_) => return Err(Failure::Conflict),
-                Step::Retry(again) => pending = again,
+                Step::Retry(retry) => pending = retry,
                 Step::ReadBack(_) => break,
             }
         }
--- a/crates/scenario/tests/language.rs
+++ b/crates/scenario/tests/language.rs
@@ -1,8 +1,8 @@
-//! Reads wrong lines.
+//! Checks the errors of malformed scenario lines.
 
 use usher_scenario::Scenario;
 
-/// Guards against a wrong line that is skipped or named without its file, line and number.
+/// Guards against a malformed line that is skipped or reported without error number, file and line.
 #[test]
 fn wrong_lines_have_numbered_errors() {
     let cases = [
--- a/crates/scenario/tests/scenarios.rs
+++ b/crates/scenario/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Runs every file of `scenarios/` and compares the outcome with what the file expects.
+//! Runs every file of `scenarios/` and checks the expectations that it states.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -6,21 +6,21 @@
 
 use usher_scenario::Scenario;
 
-/// Another seed for all files, to repeat one run.
-const SEED: &str = "SCENARIO_SEED";
-/// Runs only files whose name contains this text.
-const ONLY: &str = "SCENARIO_ONLY";
+/// Environment variable with a seed that replaces those of all files, to repeat one run.
+const SEED_VARIABLE: &str = "SCENARIO_SEED";
+/// Environment variable with a text that the path of a file must contain to be run.
+const PATTERN_VARIABLE: &str = "SCENARIO_ONLY";
 const SEEDS_PER_FILE: u64 = 2;
 const WORKERS: usize = 5;
 
 fn files() -> Vec<PathBuf> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
-    let only = std::env::var(ONLY).unwrap_or_default();
+    let pattern = std::env::var(PATTERN_VARIABLE).unwrap_or_default();
     let entries = fs::read_dir(folder)
         .unwrap()
         .map(|entry| entry.unwrap().path());
     let mut files: Vec<_> = entries
-        .filter(|path| path.to_string_lossy().contains(&only))
+        .filter(|path| path.to_string_lossy().contains(&pattern))
         .collect();
     files.sort();
     files
@@ -36,7 +36,7 @@
 }
 
 fn seeds(scenario: &Scenario) -> Vec<u64> {
-    match std::env::var(SEED) {
+    match std::env::var(SEED_VARIABLE) {
         Ok(seed) => vec![seed.parse().unwrap()],
         Err(_) => (0..SEEDS_PER_FILE)
             .map(|number| scenario.seed() + number)
@@ -44,7 +44,7 @@
     }
 }
 
-/// Runs a file with each seed and with the last one again; gives what was missed.
+/// Runs a file with each seed and repeats the last run; returns the missed expectations.
 fn check(path: &Path) -> Vec<String> {
     let scenario = read(path);
     let mut missed = Vec::new();
@@ -69,7 +69,7 @@
     missed
 }
 
-/// Guards against a broken rule in the wiring of the decision crates under the faults of a file.
+/// Guards against decision crates that, used together, break a property under the faults of a file.
 #[test]
 fn every_scenario_has_the_expected_outcome() {
     let files = files();
