--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -47,6 +47,7 @@
 }
 
 impl Command {
+    /// Whether results and errors are printed as JSON.
     pub(crate) fn json(&self) -> bool {
         match self {
             Self::Profile(profile) => profile.action.json(),
--- a/crates/cli/src/burn_report.rs
+++ b/crates/cli/src/burn_report.rs
@@ -11,12 +11,13 @@
     "WINDOW", "COVERED", "REQUESTS", "IN-TIME", "LATE", "REFUSED", "UNKNOWN", "FAILED", "GOODPUT",
     "BURN",
 ];
-const NONE: &str = "-";
+const NO_VALUE: &str = "-";
+// Length in seconds and suffix, longest first.
 const UNITS: [(u64, &str); 3] = [(86_400, "d"), (3_600, "h"), (60, "m")];
 
-/// The part of an agent's status that the report reads.
+/// The field of an agent's status that the report reads.
 #[derive(Debug, Deserialize)]
-struct Counted {
+struct BurnStatus {
     burn: Vec<Window>,
 }
 
@@ -26,11 +27,12 @@
     service: ServiceName,
     objective: Share,
     windows: IndexMap<Span, Window>,
+    /// Hosts without a usable answer.
     silent: Vec<HostId>,
 }
 
 impl BurnReport {
-    /// Sums up the hosts of a service; a host without an answer is named.
+    /// Sums the windows of a service's hosts and collects hosts without an answer.
     pub(crate) fn new(service: ServiceName, objective: Share, processes: &[Process]) -> Self {
         let mut report = Self {
             service,
@@ -42,18 +44,18 @@
             if let (Peer::Host(host), Some(service)) = (&process.peer, &process.service)
                 && *service == report.service
             {
-                report.add(host, &process.json);
+                report.add_host(host, &process.json);
             }
         }
         report
     }
 
-    fn add(&mut self, host: &HostId, status: &Json) {
-        let Ok(counted) = serde_json::from_value::<Counted>(status.clone()) else {
+    fn add_host(&mut self, host: &HostId, status: &Json) {
+        let Ok(burn_status) = serde_json::from_value::<BurnStatus>(status.clone()) else {
             self.silent.push(host.clone());
             return;
         };
-        for window in counted.burn {
+        for window in burn_status.burn {
             let empty = Window {
                 tally: Tally::default(),
                 ..window
@@ -64,20 +66,20 @@
         }
     }
 
-    // The longest window is the period of the budget.
+    // The error budget applies to the longest window.
     fn budget_left(&self) -> Option<f64> {
         let longest = self.windows.values().max_by_key(|window| window.window)?;
         longest.tally.budget_left(self.objective)
     }
 
     pub(crate) fn text(&self) -> String {
-        let objective = percent(Some(self.objective.get()));
-        let left = percent(self.budget_left());
+        let objective = format_percent(Some(self.objective.get()));
+        let remaining = format_percent(self.budget_left());
         let rows: Vec<Vec<String>> = self.windows.values().map(|w| self.row(w)).collect();
         let rows = table(&HEADING, &rows);
         let service = &self.service;
         let mut lines = vec![format!(
-            "{service}: objective {objective}, budget left {left}"
+            "{service}: objective {objective}, budget left {remaining}"
         )];
         lines.push(rows.trim_end().to_owned());
         let silent = self.silent.iter();
@@ -99,15 +101,15 @@
             tally.failed,
         ];
         let burn = tally.burn_rate(self.objective);
-        let mut row = vec![period(window.window), period(window.covered)];
+        let mut row = vec![format_period(window.window), format_period(window.covered)];
         row.extend(counts.iter().map(ToString::to_string));
-        row.push(percent(tally.goodput()));
-        row.push(burn.map_or_else(|| NONE.to_owned(), |rate| format!("{rate:.2}")));
+        row.push(format_percent(tally.goodput()));
+        row.push(burn.map_or_else(|| NO_VALUE.to_owned(), |rate| format!("{rate:.2}")));
         row
     }
 
     pub(crate) fn json(&self) -> Json {
-        let windows: Vec<Json> = self.windows.values().map(|w| self.window(w)).collect();
+        let windows: Vec<Json> = self.windows.values().map(|w| self.window_json(w)).collect();
         json!({
             "service": self.service,
             "objective": self.objective,
@@ -117,7 +119,7 @@
         })
     }
 
-    fn window(&self, window: &Window) -> Json {
+    fn window_json(&self, window: &Window) -> Json {
         let tally = &window.tally;
         json!({
             "window": window.window,
@@ -134,12 +136,15 @@
     }
 }
 
-fn percent(share: Option<f64>) -> String {
-    share.map_or_else(|| NONE.to_owned(), |share| format!("{:.2}%", share * 100.0))
+fn format_percent(share: Option<f64>) -> String {
+    share.map_or_else(
+        || NO_VALUE.to_owned(),
+        |share| format!("{:.2}%", share * 100.0),
+    )
 }
 
-// Whole units: a report over 30 days needs no seconds.
-fn period(span: Span) -> String {
+// Rounds down to whole units: a report over 30 days needs no seconds.
+fn format_period(span: Span) -> String {
     let seconds = span.as_micros() / 1_000_000;
     let unit = UNITS.iter().find(|(length, _)| seconds >= *length);
     match unit {
--- a/crates/cli/src/commands/action.rs
+++ b/crates/cli/src/commands/action.rs
@@ -24,6 +24,7 @@
 }
 
 impl Action {
+    /// Whether results and errors are printed as JSON.
     pub(crate) fn json(&self) -> bool {
         match self {
             Self::Get(get) => get.json,
--- a/crates/cli/src/commands/apply.rs
+++ b/crates/cli/src/commands/apply.rs
@@ -6,7 +6,7 @@
 use crate::document::Document;
 use crate::error::CliError;
 use crate::output::Output;
-use crate::processes::{await_rollout, newest};
+use crate::processes::{await_rollout, newest_version};
 use crate::session::{Session, change};
 
 const DEFAULT_LIMIT: Span = Span::from_secs(10);
@@ -44,13 +44,13 @@
         let values = Document::read(&self.file)?.into_values();
         let cache = session.load().await?;
         let changes = values.into_iter().map(|(key, value)| {
-            let read = cache.get(&key);
-            change(key, read, Some(value))
+            let stored = cache.get(&key);
+            change(key, stored, Some(value))
         });
         let changes = changes.collect();
         let output = session.commit(&cache, changes).await?;
         if self.wait {
-            let target = newest(session.store()).await?;
+            let target = newest_version(session.store()).await?;
             await_rollout(session.store(), target, self.limit).await?;
         }
         Ok(output)
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -11,8 +11,8 @@
 use crate::output::Output;
 use crate::session::change;
 
-// Begins the name of a field in a template of settings.
-const PLACEHOLDER: &str = "{{";
+// Start of a placeholder in a template of settings.
+const PLACEHOLDER_START: &str = "{{";
 
 /// Checks a file for `apply`, or the settings of a process, without a store.
 #[derive(Debug, FromArgs)]
@@ -39,7 +39,7 @@
             .extension()
             .is_some_and(|extension| extension == "ini")
         {
-            return self.settings();
+            return self.check_settings();
         }
         let values = Document::read(&self.file)?.into_values();
         let changes = values
@@ -52,12 +52,12 @@
         })
     }
 
-    fn settings(&self) -> Result<Output, CliError> {
+    fn check_settings(&self) -> Result<Output, CliError> {
         let text = fs::read_to_string(&self.file).map_err(|cause| CliError::File {
             path: self.file.clone(),
             cause: cause.to_string(),
         })?;
-        let what = if text.contains(PLACEHOLDER) {
+        let file_kind = if text.contains(PLACEHOLDER_START) {
             usher_node::Settings::check_template(&self.file)?;
             "template"
         } else {
@@ -65,8 +65,8 @@
             "settings"
         };
         Ok(Output {
-            text: format!("{}: {what}, no fault\n", self.file.display()),
-            json: json!({ what: self.file, "faults": [] }),
+            text: format!("{}: {file_kind}, no fault\n", self.file.display()),
+            json: json!({ file_kind: self.file, "faults": [] }),
         })
     }
 }
--- a/crates/cli/src/commands/edit.rs
+++ b/crates/cli/src/commands/edit.rs
@@ -37,23 +37,28 @@
         let Some(version) = draft.version else {
             return Err(CliError::File {
                 path: self.file,
-                cause: "it names no version; take it from `get --json`".to_owned(),
+                cause: "there is no `version`; take the file from `get --json`".to_owned(),
             });
         };
         let cache = session.load().await?;
-        let read = cache.get(&key);
-        if Condition::unchanged(read) != Condition::Version(version) {
-            return Err(moved(key, version.to_string(), read, &draft));
+        let stored = cache.get(&key);
+        if Condition::unchanged(stored) != Condition::Version(version) {
+            return Err(version_mismatch(key, version.to_string(), stored, &draft));
         }
-        let change = change(key, read, Some(draft.value));
+        let change = change(key, stored, Some(draft.value));
         session.commit(&cache, vec![change]).await
     }
 }
 
-fn moved(key: ObjectKey, expected: String, read: Option<&Object>, draft: &Draft) -> CliError {
-    let current = read.and_then(|object| object.value.as_ref());
-    let found = read.map_or_else(|| "none".to_owned(), |object| object.version.to_string());
-    CliError::Moved {
+fn version_mismatch(
+    key: ObjectKey,
+    expected: String,
+    stored: Option<&Object>,
+    draft: &Draft,
+) -> CliError {
+    let current = stored.and_then(|object| object.value.as_ref());
+    let found = stored.map_or_else(|| "none".to_owned(), |object| object.version.to_string());
+    CliError::VersionMismatch {
         key,
         expected,
         found,
--- a/crates/cli/src/commands/list.rs
+++ b/crates/cli/src/commands/list.rs
@@ -55,7 +55,7 @@
     json!({ "name": object.name, "version": object.version, "value": value })
 }
 
-/// The value as the store keeps it.
+/// JSON of a value, in the form in which the store keeps it.
 pub(crate) fn value_json(value: &Value) -> Json {
     match value {
         Value::Profile(profile) => json!(profile),
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One file per command.
+//! The commands of the tool, one file each.
 
 mod action;
 mod apply;
--- a/crates/cli/src/commands/report.rs
+++ b/crates/cli/src/commands/report.rs
@@ -6,7 +6,7 @@
 use crate::burn_report::BurnReport;
 use crate::error::CliError;
 use crate::output::Output;
-use crate::processes::ask_all;
+use crate::processes::query_all;
 use crate::session::Session;
 
 /// Reports on services, summed over their hosts.
@@ -44,6 +44,7 @@
 }
 
 impl Report {
+    /// Whether results and errors are printed as JSON.
     pub(crate) fn json(&self) -> bool {
         let Subject::Burn(burn) = &self.subject;
         burn.json
@@ -65,7 +66,7 @@
                 return Err(CliError::Missing(key));
             }
         }
-        let processes = ask_all(session.store()).await?;
+        let processes = query_all(session.store()).await?;
         let reports: Vec<BurnReport> = services
             .into_iter()
             .map(|(name, objective)| BurnReport::new(name, objective, &processes))
@@ -79,6 +80,7 @@
     }
 }
 
+// Services that have a profile, with the objective of that profile.
 fn objectives(cache: &Cache) -> Vec<(ServiceName, Share)> {
     let services = cache.list(Kind::Service).filter_map(|object| {
         let Some(Value::Service(service)) = &object.value else {
--- a/crates/cli/src/commands/set.rs
+++ b/crates/cli/src/commands/set.rs
@@ -42,16 +42,16 @@
     pub(crate) async fn run(self, session: &Session, kind: Kind) -> Result<Output, CliError> {
         let key = ObjectKey::new(kind, self.name.clone());
         let cache = session.load().await?;
-        let read = cache.get(&key);
-        let value = self.value(&key, read)?;
-        let change = change(key, read, Some(value));
+        let stored = cache.get(&key);
+        let value = self.value(&key, stored)?;
+        let change = change(key, stored, Some(value));
         session.commit(&cache, vec![change]).await
     }
 
-    fn value(&self, key: &ObjectKey, read: Option<&Object>) -> Result<Value, CliError> {
+    fn value(&self, key: &ObjectKey, stored: Option<&Object>) -> Result<Value, CliError> {
         let base = match &self.file {
             Some(path) => Some(Draft::read(path, key)?.value),
-            None => read.and_then(|object| object.value.clone()),
+            None => stored.and_then(|object| object.value.clone()),
         };
         let mut fields = match base.as_ref().map(value_json) {
             Some(Json::Object(fields)) => fields,
--- a/crates/cli/src/commands/status.rs
+++ b/crates/cli/src/commands/status.rs
@@ -4,7 +4,7 @@
 
 use crate::error::CliError;
 use crate::output::{Output, table};
-use crate::processes::{Process, ask_all, newest, rollout};
+use crate::processes::{Process, newest_version, query_all, rollout};
 use crate::session::Session;
 
 const HEADING: [&str; 5] = ["PROCESS", "CENTRE", "STATE", "REVISION", "ADDRESS"];
@@ -30,8 +30,8 @@
 
 impl ShowStatus {
     pub(crate) async fn run(self, session: &Session) -> Result<Output, CliError> {
-        let target = newest(session.store()).await?;
-        let processes = ask_all(session.store()).await?;
+        let target = newest_version(session.store()).await?;
+        let processes = query_all(session.store()).await?;
         let state = rollout(&processes, target);
         if self.check && state != RolloutState::InForce {
             return Err(CliError::NotInForce {
@@ -40,7 +40,7 @@
             });
         }
         let rows: Vec<Vec<String>> = processes.iter().map(row).collect();
-        let objects: Vec<_> = processes.iter().map(object).collect();
+        let objects: Vec<_> = processes.iter().map(process_json).collect();
         Ok(Output {
             text: table(&HEADING, &rows),
             json: json!({
@@ -66,7 +66,7 @@
     ]
 }
 
-fn object(process: &Process) -> serde_json::Value {
+fn process_json(process: &Process) -> serde_json::Value {
     json!({
         "process": process.peer.to_string(),
         "admin": process.admin,
--- a/crates/cli/src/document.rs
+++ b/crates/cli/src/document.rs
@@ -11,7 +11,7 @@
 
 use crate::error::CliError;
 
-/// Contents of a file for `apply` and `check`.
+/// Profiles and services in a file for `apply` or `check`.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct Document {
@@ -37,16 +37,18 @@
     }
 }
 
-/// One object in a file: what `get --json` prints, or its value alone.
+/// Object in a file: the output of `get --json`, or only its value.
 #[derive(Debug)]
 pub(crate) struct Draft {
+    /// `None` if the file has only the value.
     pub(crate) version: Option<Version>,
     pub(crate) value: Value,
 }
 
+/// Output of `get --json`.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Printed {
+struct GetOutput {
     kind: Kind,
     name: ObjectName,
     version: Version,
@@ -56,36 +58,37 @@
 impl Draft {
     pub(crate) fn read(path: &Path, key: &ObjectKey) -> Result<Self, CliError> {
         let json: Json = read_json(path)?;
-        let Ok(printed) = serde_json::from_value::<Printed>(json.clone()) else {
+        let Ok(output) = serde_json::from_value::<GetOutput>(json.clone()) else {
             let value = parse_value(key, json)?;
             let version = None;
             return Ok(Self { version, value });
         };
-        let found = ObjectKey::new(printed.kind, printed.name);
+        let found = ObjectKey::new(output.kind, output.name);
         if found != *key {
             return Err(CliError::File {
                 path: path.to_owned(),
-                cause: format!("it holds {found}, not {key}"),
+                cause: format!("the file contains {found}, not {key}"),
             });
         }
-        let value = parse_value(key, printed.value)?;
-        let version = Some(printed.version);
+        let value = parse_value(key, output.value)?;
+        let version = Some(output.version);
         Ok(Self { version, value })
     }
 }
 
+/// Decodes the value of the object `key` from JSON.
 pub(crate) fn parse_value(key: &ObjectKey, json: Json) -> Result<Value, CliError> {
-    decode(key.kind, json).map_err(|error| CliError::Value {
+    decode(key.kind, json).map_err(|error| CliError::InvalidValue {
         key: key.clone(),
         cause: error.to_string(),
     })
 }
 
 fn read_json<T: DeserializeOwned>(path: &Path) -> Result<T, CliError> {
-    let fault = |cause: String| CliError::File {
+    let file_error = |cause: String| CliError::File {
         path: path.to_owned(),
         cause,
     };
-    let text = fs::read_to_string(path).map_err(|error| fault(error.to_string()))?;
-    serde_json::from_str(&text).map_err(|error| fault(error.to_string()))
+    let text = fs::read_to_string(path).map_err(|error| file_error(error.to_string()))?;
+    serde_json::from_str(&text).map_err(|error| file_error(error.to_string()))
 }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -11,7 +11,7 @@
 
 use crate::ExitStatus;
 
-/// A command that failed (`MU-8xxx`, or the code of the crate that refused it).
+/// Error of a command: `MU-8xxx`, or the code of the crate that reported it.
 #[derive(Debug, Error, Diagnostic)]
 pub(crate) enum CliError {
     #[error("MU-8001: no store is given")]
@@ -30,33 +30,33 @@
     #[diagnostic(help(
         "write fields as key=value, for example hunt=5ms or methods.book.long=true"
     ))]
-    Pair { pair: String, cause: String },
+    InvalidPair { pair: String, cause: String },
 
     #[error("MU-8005: the value of {key} is not valid: {cause}")]
     #[diagnostic(help("`get --json` shows the fields of an object that exists"))]
-    Value { key: ObjectKey, cause: String },
+    InvalidValue { key: ObjectKey, cause: String },
 
-    #[error("MU-8006: refused, nothing was written:\n{}", lines(.0))]
+    #[error("MU-8006: refused, nothing was written:\n{}", indented_lines(.0))]
     #[diagnostic(help("correct all faults listed and run the command again"))]
     Refused(Vec<ConfigError>),
 
-    #[error("MU-8007: stopped after {} of {total} writes{}: {cause}{}", written.len(), done(written), diff(cause))]
+    #[error("MU-8007: stopped after {} of {total} writes{}: {cause}{}", written.len(), written_keys(written), conflict_diff(cause))]
     #[diagnostic(help("read the objects again, then repeat the command for what is missing"))]
-    Write {
+    WriteFailed {
         written: Vec<ObjectKey>,
         total: usize,
         cause: Box<PlatformError>,
     },
 
-    #[error("MU-8008: written, but another operator's change does not fit it:\n{}", lines(.0))]
+    #[error("MU-8008: written, but another operator's change does not fit it:\n{}", indented_lines(.0))]
     #[diagnostic(help(
         "change one of the objects named; until then the one accepted first is in force"
     ))]
-    Clash(Vec<ConfigError>),
+    ConcurrentChange(Vec<ConfigError>),
 
     #[error("MU-8009: {key} is at version {found}, not {expected}; nothing was written\n{diff}")]
     #[diagnostic(help("read the object again and repeat the change on what it holds now"))]
-    Moved {
+    VersionMismatch {
         key: ObjectKey,
         expected: String,
         found: String,
@@ -65,7 +65,7 @@
 
     #[error(
         "MU-8010: version {target} is not in force everywhere:{}",
-        waiting(state)
+        pending_processes(state)
     )]
     #[diagnostic(help(
         "`status` shows all processes; a process that is gone leaves the list after some seconds"
@@ -106,7 +106,7 @@
     Platform(#[from] PlatformError),
 }
 
-fn waiting(state: &RolloutState) -> String {
+fn pending_processes(state: &RolloutState) -> String {
     let RolloutState::Waiting { lagging, unheard } = state else {
         return String::new();
     };
@@ -119,12 +119,13 @@
     lagging.chain(unheard).collect()
 }
 
-fn lines(faults: &[ConfigError]) -> String {
+// Displays one fault a line.
+fn indented_lines(faults: &[ConfigError]) -> String {
     let lines: Vec<String> = faults.iter().map(|fault| format!("  {fault}")).collect();
     lines.join("\n")
 }
 
-fn done(written: &[ObjectKey]) -> String {
+fn written_keys(written: &[ObjectKey]) -> String {
     let keys: Vec<String> = written.iter().map(ToString::to_string).collect();
     if keys.is_empty() {
         String::new()
@@ -133,7 +134,7 @@
     }
 }
 
-fn diff(cause: &PlatformError) -> String {
+fn conflict_diff(cause: &PlatformError) -> String {
     match cause {
         PlatformError::Conflict(conflict) => format!("\n{}", conflict.diff()),
         _ => String::new(),
@@ -145,8 +146,8 @@
         match self {
             Self::NoStore => ExitStatus::Usage,
             Self::NotInForce { .. } => ExitStatus::TimedOut,
-            Self::Clash(_) | Self::Moved { .. } => ExitStatus::Conflict,
-            Self::Write { cause, .. } => platform_status(cause),
+            Self::ConcurrentChange(_) | Self::VersionMismatch { .. } => ExitStatus::Conflict,
+            Self::WriteFailed { cause, .. } => platform_status(cause),
             Self::Platform(cause) => platform_status(cause),
             _ => ExitStatus::Failed,
         }
@@ -161,7 +162,7 @@
             return writeln!(err, "{}", json!({ "error": error }));
         }
         let mut text = String::new();
-        // Colours and box drawing would end up in logs and pipes.
+        // No colours and no box drawing, since the text may go to a log or a pipe.
         let handler = GraphicalReportHandler::new_themed(GraphicalTheme::none());
         match handler.render_report(&mut text, self) {
             Ok(()) => write!(err, "{text}"),
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -2,7 +2,7 @@
 
 use serde_json::Value as Json;
 
-/// Result of a command, for people and for programs.
+/// Result of a command, as text and as JSON.
 #[derive(Debug)]
 pub(crate) struct Output {
     pub(crate) text: String,
@@ -18,7 +18,7 @@
     }
 }
 
-/// Lines up columns under a heading.
+/// Formats rows as aligned columns under a heading.
 pub(crate) fn table(heading: &[&str], rows: &[Vec<String>]) -> String {
     let heading: Vec<String> = heading.iter().map(|text| (*text).to_owned()).collect();
     let lines = || std::iter::once(&heading).chain(rows);
--- a/crates/cli/src/processes.rs
+++ b/crates/cli/src/processes.rs
@@ -15,21 +15,23 @@
 use crate::error::CliError;
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-const POLL: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A process that the store lists, with what it says of itself.
+/// A process listed in the store, and its answer to `status`.
 #[derive(Debug)]
 pub(crate) struct Process {
     pub(crate) peer: Peer,
+    /// Address for administration calls.
     pub(crate) admin: SocketAddrV4,
-    /// Service of a host.
+    /// Service of a host; `None` for a balancer.
     pub(crate) service: Option<ServiceName>,
-    /// `None` if the process did not answer.
+    /// `None` if the process did not answer with a valid status.
     pub(crate) status: Option<Status>,
+    /// The whole answer; `null` if there is none.
     pub(crate) json: Json,
 }
 
-/// The part of a status that every process reports.
+/// The fields that the status of every process has.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Status {
     pub(crate) incarnation: Incarnation,
@@ -38,14 +40,14 @@
     pub(crate) centre: String,
 }
 
-/// Lists the processes in rosters and fleets and asks all of them at the same time.
-pub(crate) async fn ask_all(store: &Store) -> Result<Vec<Process>, CliError> {
+/// Queries the status of all processes in rosters and fleets concurrently.
+pub(crate) async fn query_all(store: &Store) -> Result<Vec<Process>, CliError> {
     let mut calls = Vec::new();
-    for Listed {
+    for ListedProcess {
         peer,
         admin,
         service,
-    } in listed(store).await?
+    } in list_processes(store).await?
     {
         calls.push(task::spawn(async move {
             let answer: Result<Json, ClientError> = call(admin, "status").await;
@@ -69,19 +71,21 @@
 
 /// Asks a host's agent to drain.
 pub(crate) async fn drain(store: &Store, host: &HostId) -> Result<(), CliError> {
-    let own = Peer::Host(host.clone());
-    let listed = listed(store).await?;
-    let Some(Listed { admin, .. }) = listed.into_iter().find(|entry| entry.peer == own) else {
+    let host_peer = Peer::Host(host.clone());
+    let listed = list_processes(store).await?;
+    let Some(ListedProcess { admin, .. }) =
+        listed.into_iter().find(|entry| entry.peer == host_peer)
+    else {
         return Err(CliError::NoHost(host.clone()));
     };
     let answer: Result<bool, ClientError> = call(admin, "drain").await;
     answer.map(|_| ()).map_err(|cause| CliError::NoAnswer {
-        peer: own,
+        peer: host_peer,
         cause: cause.to_string(),
     })
 }
 
-/// Takes a balancer that does not answer out of its fleet.
+/// Removes a balancer that does not answer from its fleet.
 pub(crate) async fn forget(store: &Store, instance: &InstanceId) -> Result<(), CliError> {
     let fleets = store
         .list(Some(Kind::Fleet), Version::default())
@@ -104,7 +108,7 @@
             return Err(CliError::StillAlive(instance.clone()));
         }
     }
-    // A balancer that joins meanwhile changes the version, and the write is refused.
+    // The write is refused if the fleet has changed meanwhile, for example when a balancer joins.
     let condition = Condition::Version(object.version);
     store
         .put(object.key(), condition, Value::Fleet(fleet))
@@ -113,28 +117,30 @@
 }
 
 /// Waits until every listed process has a version in force.
+///
+/// Fails with `NotInForce` when `limit` has passed.
 pub(crate) async fn await_rollout(
     store: &Store,
     target: Version,
     limit: Span,
 ) -> Result<(), CliError> {
-    let end = Instant::now() + Duration::from_micros(limit.as_micros());
+    let deadline = Instant::now() + Duration::from_micros(limit.as_micros());
     loop {
-        let state = rollout(&ask_all(store).await?, target);
+        let state = rollout(&query_all(store).await?, target);
         if state == RolloutState::InForce {
             return Ok(());
         }
-        if Instant::now() >= end {
+        if Instant::now() >= deadline {
             return Err(CliError::NotInForce {
                 target,
                 state: Box::new(state),
             });
         }
-        task::sleep(POLL).await;
+        task::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// How far a version has spread over the given processes.
+/// Returns whether all processes have a version in force, or which do not.
 pub(crate) fn rollout(processes: &[Process], target: Version) -> RolloutState {
     let mut rollout = Rollout::new(target);
     for process in processes {
@@ -150,39 +156,39 @@
     rollout.state()
 }
 
-/// Highest version of an operator's object, tombstones included.
-pub(crate) async fn newest(store: &Store) -> Result<Version, CliError> {
-    let mut newest = Version::default();
+/// Highest version of all profiles and services, including tombstones.
+pub(crate) async fn newest_version(store: &Store) -> Result<Version, CliError> {
+    let mut newest_version = Version::default();
     for kind in [Kind::Profile, Kind::Service] {
         let batch = store.list(Some(kind), Version::default()).await?;
         let versions = batch.objects.iter().map(|object| object.version);
-        newest = versions.fold(newest, Version::max);
+        newest_version = versions.fold(newest_version, Version::max);
     }
-    Ok(newest)
+    Ok(newest_version)
 }
 
-/// An entry of a roster or a fleet.
-struct Listed {
+/// A process as an entry of a roster or a fleet names it.
+struct ListedProcess {
     peer: Peer,
     admin: SocketAddrV4,
     service: Option<ServiceName>,
 }
 
-async fn listed(store: &Store) -> Result<Vec<Listed>, CliError> {
-    let mut peers = Vec::new();
+async fn list_processes(store: &Store) -> Result<Vec<ListedProcess>, CliError> {
+    let mut entries = Vec::new();
     for kind in [Kind::Fleet, Kind::Roster] {
         let batch = store.list(Some(kind), Version::default()).await?;
-        peers.extend(batch.objects.iter().flat_map(peers_of));
+        entries.extend(batch.objects.iter().flat_map(listed_in));
     }
-    Ok(peers)
+    Ok(entries)
 }
 
-fn peers_of(object: &Object) -> Vec<Listed> {
+fn listed_in(object: &Object) -> Vec<ListedProcess> {
     match &object.value {
         Some(Value::Fleet(fleet)) => {
             let balancers = fleet.balancers.iter();
             balancers
-                .map(|(name, entry)| Listed {
+                .map(|(name, entry)| ListedProcess {
                     peer: Peer::Instance(name.clone()),
                     admin: entry.admin,
                     service: None,
@@ -192,7 +198,7 @@
         Some(Value::Roster(roster)) => {
             let members = roster.members.iter();
             members
-                .map(|(host, member)| Listed {
+                .map(|(host, member)| ListedProcess {
                     peer: Peer::Host(host.clone()),
                     admin: member.admin,
                     service: object.name.as_str().parse().ok(),
@@ -203,6 +209,7 @@
     }
 }
 
+// Calls a JSON-RPC method without parameters.
 async fn call<T: serde::de::DeserializeOwned>(
     admin: SocketAddrV4,
     method: &str,
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -12,7 +12,7 @@
 
 const PROGRAM: &str = "marigoldusher";
 
-/// Runs one command line, without the program's name.
+/// Runs one command line; `args` does not include the program's name.
 ///
 /// Results go to `out`, errors to `err`.
 ///
@@ -26,37 +26,37 @@
     let args = match Args::from_args(&[PROGRAM], args) {
         Ok(args) => args,
         Err(exit) if exit.status.is_ok() => {
-            return finish(ExitStatus::Ok, &out.write_all(exit.output.as_bytes()));
+            return status_after_write(ExitStatus::Ok, &out.write_all(exit.output.as_bytes()));
         }
         Err(exit) => {
-            return finish(ExitStatus::Usage, &err.write_all(exit.output.as_bytes()));
+            return status_after_write(ExitStatus::Usage, &err.write_all(exit.output.as_bytes()));
         }
     };
     let json = args.command.json();
     match task::block_on(execute(args)) {
-        Ok(output) => finish(ExitStatus::Ok, &output.write(json, out)),
-        Err(error) => finish(error.exit_status(), &error.write(json, err)),
+        Ok(output) => status_after_write(ExitStatus::Ok, &output.write(json, out)),
+        Err(error) => status_after_write(error.exit_status(), &error.write(json, err)),
     }
 }
 
-// A result that could not be written, for example to a closed pipe, is a failure.
-fn finish(status: ExitStatus, written: &io::Result<()>) -> ExitStatus {
-    if status == ExitStatus::Ok && written.is_err() {
+// Output that cannot be written, for example to a closed pipe, turns success into a failure.
+fn status_after_write(status: ExitStatus, write_result: &io::Result<()>) -> ExitStatus {
+    if status == ExitStatus::Ok && write_result.is_err() {
         return ExitStatus::Failed;
     }
     status
 }
 
 async fn execute(args: Args) -> Result<Output, CliError> {
-    let session = || Session::open(args.store, args.settings.as_deref());
+    let open_session = || Session::open(args.store, args.settings.as_deref());
     match args.command {
-        Command::Profile(profile) => profile.action.run(&session()?, Kind::Profile).await,
-        Command::Service(service) => service.action.run(&session()?, Kind::Service).await,
-        Command::Apply(apply) => apply.run(&session()?).await,
+        Command::Profile(profile) => profile.action.run(&open_session()?, Kind::Profile).await,
+        Command::Service(service) => service.action.run(&open_session()?, Kind::Service).await,
+        Command::Apply(apply) => apply.run(&open_session()?).await,
         Command::Check(check) => check.run(),
-        Command::Status(status) => status.run(&session()?).await,
-        Command::Drain(drain) => drain.run(&session()?).await,
-        Command::Forget(forget) => forget.run(&session()?).await,
-        Command::Report(report) => report.run(&session()?).await,
+        Command::Status(status) => status.run(&open_session()?).await,
+        Command::Drain(drain) => drain.run(&open_session()?).await,
+        Command::Forget(forget) => forget.run(&open_session()?).await,
+        Command::Report(report) => report.run(&open_session()?).await,
     }
 }
--- a/crates/cli/src/session.rs
+++ b/crates/cli/src/session.rs
@@ -12,13 +12,14 @@
 use crate::output::{Output, table};
 use crate::settings::Settings;
 
-/// A connection to the store for the time of one command.
+/// Access to the store for one command.
 #[derive(Debug)]
 pub(crate) struct Session {
     store: Store,
 }
 
 impl Session {
+    /// Uses the given address of the store, or else the one in the settings file.
     pub(crate) fn open(
         store: Option<SocketAddrV4>,
         settings: Option<&Path>,
@@ -32,16 +33,16 @@
         Ok(Self { store })
     }
 
-    /// Profiles and services, with tombstones.
     pub(crate) fn store(&self) -> &Store {
         &self.store
     }
 
+    /// Reads all profiles and services, including tombstones.
     pub(crate) async fn load(&self) -> Result<Cache, CliError> {
         let mut cache = Cache::default();
         for kind in [Kind::Profile, Kind::Service] {
             let batch = self.store.list(Some(kind), Version::default()).await?;
-            // Rules that span objects cannot be checked without reading all of them.
+            // Rules that span several objects can be checked only if all of them are readable.
             if let Some(error) = batch.unreadable.into_iter().next() {
                 return Err(error.into());
             }
@@ -52,12 +53,15 @@
         Ok(cache)
     }
 
+    /// Reads one object; `None` if it does not exist or was deleted.
     pub(crate) async fn get(&self, key: &ObjectKey) -> Result<Option<Object>, CliError> {
         let object = self.store.get(key).await?;
         Ok(object.filter(|object| object.value.is_some()))
     }
 
-    /// Checks changes as a whole, and only then makes them one after the other.
+    /// Checks all changes together, then writes them one after the other.
+    ///
+    /// Nothing is written if the check fails; the first failed write stops the rest.
     pub(crate) async fn commit(
         &self,
         cache: &Cache,
@@ -66,7 +70,7 @@
         let changes = check(cache, changes).map_err(CliError::Refused)?;
         let (unchanged, changes): (Vec<_>, Vec<_>) = changes
             .into_iter()
-            .partition(|change| is_current(cache, change));
+            .partition(|change| is_no_op(cache, change));
         let total = changes.len();
         let mut written: Vec<Written> = Vec::new();
         for change in changes {
@@ -79,7 +83,7 @@
                     version,
                 }),
                 Err(cause) => {
-                    return Err(CliError::Write {
+                    return Err(CliError::WriteFailed {
                         written: written.into_iter().map(|written| written.key).collect(),
                         total,
                         cause: Box::new(cause),
@@ -88,29 +92,30 @@
             }
         }
         if total > 0 {
-            self.check_clashes(cache).await?;
+            self.check_concurrent_changes(cache).await?;
         }
         let unchanged = unchanged.into_iter().map(|change| change.key).collect();
-        Ok(report(&written, unchanged))
+        Ok(commit_output(&written, unchanged))
     }
 
-    // A write depends on its own object only, so a concurrent change of another object can break a
-    // rule that spans both.
-    async fn check_clashes(&self, before: &Cache) -> Result<(), CliError> {
-        let known = Catalog::new(before).faults;
-        let now = Catalog::new(&self.load().await?).faults;
-        let new: Vec<ConfigError> = now
+    // Each write is conditional only on the version of its own object, so a concurrent change of
+    // another object can break a rule that spans both.
+    async fn check_concurrent_changes(&self, before: &Cache) -> Result<(), CliError> {
+        let faults_before = Catalog::new(before).faults;
+        let faults_now = Catalog::new(&self.load().await?).faults;
+        let new_faults: Vec<ConfigError> = faults_now
             .into_iter()
-            .filter(|fault| !known.contains(fault))
+            .filter(|fault| !faults_before.contains(fault))
             .collect();
-        if new.is_empty() {
+        if new_faults.is_empty() {
             Ok(())
         } else {
-            Err(CliError::Clash(new))
+            Err(CliError::ConcurrentChange(new_faults))
         }
     }
 }
 
+/// A write that the store has accepted.
 struct Written {
     key: ObjectKey,
     effect: &'static str,
@@ -125,14 +130,15 @@
     }
 }
 
-fn is_current(cache: &Cache, change: &Change) -> bool {
+// Whether the object already has the value of the change.
+fn is_no_op(cache: &Cache, change: &Change) -> bool {
     let current = cache
         .get(&change.key)
         .and_then(|object| object.value.as_ref());
     change.value.is_some() && current == change.value.as_ref()
 }
 
-fn report(written: &[Written], unchanged: Vec<ObjectKey>) -> Output {
+fn commit_output(written: &[Written], unchanged: Vec<ObjectKey>) -> Output {
     let mut rows: Vec<Vec<String>> = Vec::new();
     let mut objects = Vec::new();
     for Written {
@@ -162,11 +168,11 @@
     }
 }
 
-/// The change from what was read to a value; `None` deletes.
-pub(crate) fn change(key: ObjectKey, read: Option<&Object>, value: Option<Value>) -> Change {
+/// Builds a change that is conditional on the version read; a `None` value deletes.
+pub(crate) fn change(key: ObjectKey, stored: Option<&Object>, value: Option<Value>) -> Change {
     Change {
         key,
-        condition: Condition::unchanged(read),
+        condition: Condition::unchanged(stored),
         value,
     }
 }
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -19,11 +19,11 @@
 
 impl Settings {
     pub(crate) fn read(path: &Path) -> Result<Self, CliError> {
-        let fault = |cause: String| CliError::File {
+        let file_error = |cause: String| CliError::File {
             path: path.to_owned(),
             cause,
         };
-        let text = fs::read_to_string(path).map_err(|error| fault(error.to_string()))?;
-        serde_ini::from_str(&text).map_err(|error| fault(error.to_string()))
+        let text = fs::read_to_string(path).map_err(|error| file_error(error.to_string()))?;
+        serde_ini::from_str(&text).map_err(|error| file_error(error.to_string()))
     }
 }
--- a/crates/cli/tests/cli/commands.rs
+++ b/crates/cli/tests/cli/commands.rs
@@ -1,26 +1,27 @@
-//! Commands of the tool against the store's stand-in.
+//! Commands of the tool against the stand-in of the store.
 
 use serde_json::{Value as Json, json};
 use usher_cli::{ExitStatus, run};
 
 use crate::shell::Shell;
 
-// Guards against refused input that is written in part, by `apply` or accepted by `check`.
+// Guards against `apply` writing part of a faulty document, and `check` accepting it.
 #[test]
 fn refused_documents_write_nothing() {
     let shell = Shell::new("refused");
     let rows: Vec<Json> = serde_json::from_str(include_str!("refused.json")).unwrap();
     for row in rows {
         let file = shell.file("refused.json", &row["document"].to_string());
-        let says = row["says"].as_str().unwrap();
+        let message = row["message"].as_str().unwrap();
         for command in ["apply", "check"] {
-            shell.refused(&format!("{command} {file}"), ExitStatus::Failed, says);
+            shell.refused(&format!("{command} {file}"), ExitStatus::Failed, message);
         }
-        assert_eq!(shell.writes(), 0, "{}", row["guards"]);
+        assert_eq!(shell.writes(), 0, "{}", row["guards_against"]);
     }
 }
 
-// Guards against a change of one object that breaks another, and against writes by refused commands.
+// Guards against a change of one object that makes another one invalid, and against writes by
+// refused commands.
 #[test]
 fn objects_are_set_moved_and_deleted() {
     let shell = Shell::new("objects");
@@ -51,7 +52,7 @@
     assert!(shell.ok("profile list").contains("fast  1        4096"));
 }
 
-// Guards against an operator's change that overwrites another one made meanwhile.
+// Guards against an edit that overwrites a change made after the object was read.
 #[test]
 fn edit_of_an_older_version_is_a_conflict() {
     let shell = Shell::new("edit");
@@ -83,8 +84,8 @@
     assert!(shell.ok("profile get fast").contains("9ms"));
 }
 
-// Guards against an overwrite when another write falls between reading and writing, and against an
-// `apply` that does not say what it had written by then.
+// Guards against overwriting a change that is made between read and write, and against an `apply`
+// that stops there without naming the objects that it has written.
 #[test]
 fn lost_race_stops_and_names_what_was_written() {
     let shell = Shell::new("race");
@@ -109,7 +110,7 @@
     shell.ok("profile get fast");
 }
 
-// Guards against a write reported as failed because only its answer was lost.
+// Guards against reporting a write as failed when only its answer was lost.
 #[test]
 fn lost_answer_is_no_failure() {
     let shell = Shell::new("lost");
@@ -118,7 +119,7 @@
     assert_eq!(shell.writes(), 1);
 }
 
-// Guards against a repeated `apply` that writes again what is already in force.
+// Guards against a repeated `apply` that rewrites unchanged objects.
 #[test]
 fn apply_is_repeatable() {
     let shell = Shell::new("apply");
@@ -139,7 +140,7 @@
     assert_eq!(shell.writes(), 2);
 }
 
-// Guards against a command line that is taken for something else, and against help without examples.
+// Guards against an invalid command line that is accepted, and against help without examples.
 #[test]
 fn usage_is_checked() {
     let shell = Shell::new("usage");
--- a/crates/cli/tests/cli/fake.rs
+++ b/crates/cli/tests/cli/fake.rs
@@ -1,4 +1,4 @@
-//! Processes that answer `status` with a fixed text, and rosters that list them.
+//! Processes that answer `status` as a test sets it, and rosters and fleets that list them.
 
 use std::net::{SocketAddr, SocketAddrV4};
 use std::sync::{Arc, Mutex};
@@ -13,17 +13,17 @@
 
 use crate::shell::Shell;
 
-// No process listens on this port, which needs rights that no test has.
-const NOBODY: &str = "127.0.0.1:1";
+// No process listens on port 1, since that needs privileges that tests do not have.
+const UNUSED_ADDRESS: &str = "127.0.0.1:1";
 
-/// A process that answers with the last status that it was given.
-pub struct Fake {
+/// A process that answers `status` calls with the status last set.
+pub struct FakeProcess {
     pub admin: SocketAddrV4,
     status: Arc<Mutex<Json>>,
     _server: ServerHandle,
 }
 
-impl Fake {
+impl FakeProcess {
     pub fn new(status: Json) -> Self {
         let status = Arc::new(Mutex::new(status));
         let answer = Arc::clone(&status);
@@ -50,20 +50,21 @@
     }
 }
 
-/// A status as every process reports it.
+/// The status fields that every process reports.
 pub fn status(revision: u64) -> Json {
     json!({ "incarnation": 1, "revision": revision, "state": "serving", "centre": "kolkata" })
 }
 
-pub fn nobody() -> SocketAddrV4 {
-    NOBODY.parse().unwrap()
+/// An address at which no process answers.
+pub fn unused_address() -> SocketAddrV4 {
+    UNUSED_ADDRESS.parse().unwrap()
 }
 
-/// Lists hosts of a service, as their agents would.
+/// Writes the roster of a service with these hosts, as their agents would.
 pub fn list_hosts(shell: &Shell, service: &str, hosts: &[(&str, SocketAddrV4)]) {
     let member = |admin| Member {
         incarnation: Incarnation::new(1),
-        agent: nobody(),
+        agent: unused_address(),
         admin,
         centre: "kolkata".parse().unwrap(),
         weight: Weight::NOMINAL,
@@ -80,11 +81,11 @@
     put(shell, Kind::Roster, service, Value::Roster(roster));
 }
 
-/// Lists one balancer, as it would itself.
+/// Writes a fleet with this balancer, as the balancer would.
 pub fn list_balancer(shell: &Shell, name: &str, admin: SocketAddrV4) {
     let entry = Balancer {
         incarnation: Incarnation::new(1),
-        control: nobody(),
+        control: unused_address(),
         admin,
     };
     let fleet = Fleet {
--- a/crates/cli/tests/cli/main.rs
+++ b/crates/cli/tests/cli/main.rs
@@ -1,4 +1,4 @@
-//! The operator's tool against the store's stand-in and fake processes.
+//! The operator's tool against a stand-in store and fake processes.
 
 mod commands;
 mod fake;
--- a/crates/cli/tests/cli/pages.rs
+++ b/crates/cli/tests/cli/pages.rs
@@ -1,4 +1,4 @@
-//! Pages and examples that describe what the tool reads.
+//! Checks the settings page, the examples and the deployed template against the tool.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -12,7 +12,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-// Key and default of each row of a table.
+// Maps the key of each row of a Markdown table to its default, the third column.
 fn rows(table: &str) -> BTreeMap<String, String> {
     let lines = table.lines().filter(|line| line.starts_with("| "));
     let cells = lines.skip(1).map(|line| line.split(" | "));
@@ -25,14 +25,14 @@
 }
 
 fn fields(value: &Json) -> BTreeMap<String, String> {
-    let plain = |value: &Json| value.as_str().map_or(value.to_string(), str::to_owned);
+    let unquoted = |value: &Json| value.as_str().map_or(value.to_string(), str::to_owned);
     let fields = value.as_object().unwrap().iter();
     fields
-        .map(|(key, value)| (key.clone(), plain(value)))
+        .map(|(key, value)| (key.clone(), unquoted(value)))
         .collect()
 }
 
-// Guards against a page that misses a key of a profile or states another default.
+// Guards against a page that omits a profile key or states a wrong default.
 #[test]
 fn settings_page_lists_profile_keys() {
     let page = fs::read_to_string(root().join("docs/settings.md")).unwrap();
@@ -42,7 +42,7 @@
     assert_eq!(rows(rule), fields(&json!(ClassRule::default())));
 }
 
-// Guards against examples that the tool does not take.
+// Guards against examples that the tool does not accept.
 #[test]
 fn examples_are_read() {
     let file = |name: &str| {
@@ -56,14 +56,15 @@
     let (mut out, mut err) = (Vec::new(), Vec::new());
     let status = run(&["check", &file("riga.json")], &mut out, &mut err);
     assert_eq!(status, ExitStatus::Ok, "{}", String::from_utf8_lossy(&err));
-    // The settings are read before the file, which does not exist, and no store is asked.
+    // The settings are read before the missing document, and the store is not contacted: MU-8002 for
+    // the document shows that the settings were accepted.
     let args = ["--settings", &file("usher.ini"), "apply", "missing.json"];
     assert_eq!(run(&args, &mut out, &mut err), ExitStatus::Failed);
     let text = String::from_utf8(err).unwrap();
     assert!(text.contains("MU-8002: missing.json"), "{text}");
 }
 
-// Guards against a template that breaks every node at its start and passes the check before.
+// Guards against a `check` that accepts a template with which no node can start.
 #[test]
 fn the_deployed_template_is_checked() {
     let deployed = root().join("deploy/node.ini");
--- a/crates/cli/tests/cli/processes.rs
+++ b/crates/cli/tests/cli/processes.rs
@@ -1,4 +1,4 @@
-//! Commands that ask processes: `apply --wait`, `status`, `drain` and `report burn`.
+//! Commands that query processes: `apply --wait`, `status`, `drain` and `report burn`.
 
 use std::thread;
 use std::time::Duration;
@@ -6,21 +6,24 @@
 use serde_json::{Value as Json, json};
 use usher_cli::ExitStatus;
 
-use crate::fake::{Fake, list_balancer, list_hosts, nobody, status};
+use crate::fake::{FakeProcess, list_balancer, list_hosts, status, unused_address};
 use crate::shell::Shell;
 
 const DOCUMENT: &str = r#"{
     "profiles": { "fast": { "objective": 0.9 } },
     "services": { "desk": { "address": "192.0.2.1:80", "profile": "fast" } }
 }"#;
-// Above every version that these tests write.
+// A version above every one that these tests write.
 const NEWEST: u64 = 1_000;
 
-// Guards against an `apply --wait` that ends before the slowest process has the configuration.
+// Guards against an `apply --wait` that returns before the slowest process has the configuration.
 #[test]
 fn apply_waits_for_the_last_process() {
     let shell = Shell::new("wait");
-    let (fast, slow) = (Fake::new(status(NEWEST)), Fake::new(status(0)));
+    let (fast, slow) = (
+        FakeProcess::new(status(NEWEST)),
+        FakeProcess::new(status(0)),
+    );
     list_balancer(&shell, "entry-1", fast.admin);
     list_hosts(&shell, "desk", &[("desk-1", slow.admin)]);
     let file = shell.file("desk.json", DOCUMENT);
@@ -32,36 +35,39 @@
     assert_eq!(found, ExitStatus::Ok, "{text}");
 }
 
-// Guards against a rollout that is called complete without a process that lags or is gone.
+// Guards against a rollout reported as complete while a process lags or does not answer.
 #[test]
 fn apply_names_the_processes_that_lag() {
     let shell = Shell::new("lag");
-    let (fast, slow) = (Fake::new(status(NEWEST)), Fake::new(status(1)));
+    let (fast, slow) = (
+        FakeProcess::new(status(NEWEST)),
+        FakeProcess::new(status(1)),
+    );
     list_balancer(&shell, "entry-1", fast.admin);
-    let hosts = [("desk-1", slow.admin), ("desk-2", nobody())];
+    let hosts = [("desk-1", slow.admin), ("desk-2", unused_address())];
     list_hosts(&shell, "desk", &hosts);
     let file = shell.file("desk.json", DOCUMENT);
     let command = format!("apply {file} --wait --limit 300ms");
     let (found, text) = shell.run(&command);
     assert_eq!(found, ExitStatus::TimedOut, "{text}");
-    for says in [
+    for expected in [
         "MU-8010",
         "host desk-1 is at version 1",
         "host desk-2 does not answer",
     ] {
-        assert!(text.contains(says), "{says}: {text}");
+        assert!(text.contains(expected), "{expected}: {text}");
     }
     assert!(!text.contains("entry-1"), "{text}");
     shell.refused("status --check", ExitStatus::TimedOut, "MU-8010");
 }
 
-// Guards against a status without the processes that are listed and do not answer.
+// Guards against a status that omits listed processes which do not answer.
 #[test]
 fn status_lists_every_process() {
     let shell = Shell::new("status");
-    let entry = Fake::new(status(7));
+    let entry = FakeProcess::new(status(7));
     list_balancer(&shell, "entry-1", entry.admin);
-    list_hosts(&shell, "desk", &[("desk-1", nobody())]);
+    list_hosts(&shell, "desk", &[("desk-1", unused_address())]);
     let text = shell.ok("status");
     let line = |name: &str| {
         text.lines()
@@ -81,22 +87,22 @@
     assert_eq!(shell.writes(), 2, "only the two lists");
 }
 
-// Guards against a live balancer that is taken out of its list, and a dead one that stays.
+// Guards against removing a live balancer from its fleet, and against keeping a dead one.
 #[test]
 fn only_a_dead_balancer_is_forgotten() {
     let shell = Shell::new("forget");
-    let entry = Fake::new(status(7));
+    let entry = FakeProcess::new(status(7));
     list_balancer(&shell, "entry-1", entry.admin);
     shell.refused("forget entry-1", ExitStatus::Failed, "MU-8014");
     shell.refused("forget entry-9", ExitStatus::Failed, "MU-8013");
     assert_eq!(shell.writes(), 1, "only the list");
     let shell = Shell::new("forget-dead");
-    list_balancer(&shell, "entry-2", nobody());
+    list_balancer(&shell, "entry-2", unused_address());
     shell.ok("forget entry-2");
     assert!(!shell.ok("status").contains("entry-2"));
 }
 
-fn counted(in_time: u64, late: u64, covered: &str) -> Json {
+fn status_with_burn(in_time: u64, late: u64, covered: &str) -> Json {
     let tally = json!({
         "in_time": in_time, "late": late, "refused": 1, "unknown": 0, "failed": 0
     });
@@ -105,22 +111,22 @@
     status
 }
 
-// Guards against a report that leaves out a host, or adds hosts of another service.
+// Guards against a report that omits a host or includes hosts of another service.
 #[test]
 fn burn_is_summed_over_the_hosts_of_a_service() {
     let shell = Shell::new("burn");
     let fakes = [
-        counted(40, 5, "60s"),
-        counted(50, 3, "300s"),
-        counted(1, 9, "1s"),
+        status_with_burn(40, 5, "60s"),
+        status_with_burn(50, 3, "300s"),
+        status_with_burn(1, 9, "1s"),
     ];
-    let fakes = fakes.map(Fake::new);
+    let fakes = fakes.map(FakeProcess::new);
     shell.ok(&format!("apply {}", shell.file("desk.json", DOCUMENT)));
     shell.ok("service set map address=192.0.2.2:80 profile=fast");
     let desk = [
         ("desk-1", fakes[0].admin),
         ("desk-2", fakes[1].admin),
-        ("desk-3", nobody()),
+        ("desk-3", unused_address()),
     ];
     list_hosts(&shell, "desk", &desk);
     list_hosts(&shell, "map", &[("map-1", fakes[2].admin)]);
--- a/crates/cli/tests/cli/shell.rs
+++ b/crates/cli/tests/cli/shell.rs
@@ -1,4 +1,4 @@
-//! A command line in front of a store of its own.
+//! Runs command lines of the tool against a stand-in store.
 
 use std::path::PathBuf;
 use std::{env, fs, process};
@@ -7,6 +7,7 @@
 use usher_cli::{ExitStatus, run};
 use usher_platform_standin::store::Store;
 
+/// Command lines with a store and a temporary folder of their own.
 pub struct Shell {
     pub store: String,
     server: Store,
@@ -26,6 +27,7 @@
         }
     }
 
+    /// Runs a command line, split at spaces; returns all that it prints.
     pub fn run(&self, line: &str) -> (ExitStatus, String) {
         let mut args = vec!["--store", &self.store];
         args.extend(line.split(' '));
@@ -35,18 +37,21 @@
         (status, String::from_utf8(out).unwrap())
     }
 
+    /// Runs a command that has to succeed.
     pub fn ok(&self, line: &str) -> String {
         let (status, text) = self.run(line);
         assert_eq!(status, ExitStatus::Ok, "{line}: {text}");
         text
     }
 
-    pub fn refused(&self, line: &str, status: ExitStatus, says: &str) {
+    /// Runs a command that has to fail with this status and text.
+    pub fn refused(&self, line: &str, status: ExitStatus, expected: &str) {
         let (found, text) = self.run(line);
         assert_eq!(found, status, "{line}: {text}");
-        assert!(text.contains(says), "{line}: {text}");
+        assert!(text.contains(expected), "{line}: {text}");
     }
 
+    /// Writes a file into the temporary folder and returns its path.
     pub fn file(&self, name: &str, text: &str) -> String {
         let path = self.folder.join(name);
         fs::write(&path, text).unwrap();
@@ -58,6 +63,7 @@
         self.server.set_faults(faults);
     }
 
+    /// Number of writes that the store has accepted.
     pub fn writes(&self) -> u64 {
         self.server.stats().writes
     }
