--- a/crates/daemon/src/args.rs
+++ b/crates/daemon/src/args.rs
@@ -10,7 +10,7 @@
 use crate::settings::{Role, Settings};
 
 const EXIT_FAILED: u8 = 1;
-/// Exit status after a wrong command line or wrong settings.
+/// Exit status for an invalid command line or invalid settings.
 pub const EXIT_USAGE: u8 = 2;
 
 /// Layer-4 load balancer daemon: a balancer on an entry instance or an agent beside a backend
@@ -36,7 +36,7 @@
     /// Runs the process until a planned stop has finished.
     ///
     /// # Errors
-    /// Fails when the settings are wrong or the process cannot go on.
+    /// Fails when the settings are invalid or the process cannot continue.
     pub fn run(&self) -> Result<()> {
         let settings = Settings::load(&self.settings)?;
         if self.check {
@@ -59,7 +59,7 @@
     }
 
     /// Exit status after a failed [`Args::run`].
-    pub fn failure(&self) -> u8 {
+    pub fn failure_status(&self) -> u8 {
         match Settings::load(&self.settings) {
             Err(_) => EXIT_USAGE,
             Ok(_) => EXIT_FAILED,
@@ -67,7 +67,7 @@
     }
 }
 
-// The receiver gets a message at the first SIGTERM or SIGINT; a second one ends the process.
+// Sends a message at the first SIGTERM or SIGINT; a second signal ends the process at once.
 fn stop_signal() -> Result<channel::Receiver<()>> {
     let (sender, receiver) = channel::bounded(1);
     let mut signals = Signals::new([SIGTERM, SIGINT]).into_diagnostic()?;
@@ -76,7 +76,7 @@
             if signals.forever().next().is_none() || count > 0 {
                 std::process::exit(i32::from(EXIT_FAILED));
             }
-            // The runtime has ended when nobody receives.
+            // An error means that the runtime has ended and dropped the receiver.
             let _ = sender.send_blocking(());
         }
     });
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -3,7 +3,7 @@
 use miette::Diagnostic;
 use thiserror::Error;
 
-/// A fault in a settings file; the daemon ends with exit status 2.
+/// An error in a settings file; the daemon exits with status 2.
 #[derive(Debug, Error, Diagnostic)]
 pub enum SettingsError {
     /// The file cannot be read.
@@ -12,10 +12,10 @@
     Unreadable {
         /// Path of the file.
         file: PathBuf,
-        /// What the system or the parser reports.
+        /// Error of the operating system or of the parser.
         reason: String,
     },
-    /// A section that no role has.
+    /// A section that no role reads.
     #[error("MU-7002: {}: unknown section [{section}]", file.display())]
     #[diagnostic(help("sections are [process], [balancer], [agent], [log] and [metrics]"))]
     Section {
@@ -35,7 +35,7 @@
         /// Name of the key.
         key: String,
     },
-    /// A key that must be present.
+    /// A required key that is absent.
     #[error("MU-7004: {}: [{section}] lacks '{key}': {allowed}", file.display())]
     #[diagnostic(help("docs/settings.md lists the keys of each section"))]
     Missing {
@@ -45,10 +45,10 @@
         section: &'static str,
         /// Name of the key.
         key: &'static str,
-        /// Values that the key takes.
+        /// Values that the key accepts.
         allowed: &'static str,
     },
-    /// A value that the key does not take.
+    /// A value that the key does not accept.
     #[error("MU-7005: {}: [{section}] {key} = '{value}': expected {allowed}", file.display())]
     #[diagnostic(help("correct the value and start the process again"))]
     Value {
@@ -60,7 +60,7 @@
         key: &'static str,
         /// The value in the file.
         value: String,
-        /// Values that the key takes.
+        /// Values that the key accepts.
         allowed: &'static str,
     },
     /// A section or key that occurs more than once.
--- a/crates/daemon/src/key.rs
+++ b/crates/daemon/src/key.rs
@@ -1,6 +1,6 @@
 use std::fmt::{self, Display};
 
-/// Roles that a key belongs to.
+/// Roles that read a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scope {
     /// Balancers and agents.
@@ -21,18 +21,18 @@
     }
 }
 
-/// What holds when a key is absent.
+/// Default of a key that is absent from the file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Preset {
+pub enum DefaultValue {
     /// The key must be present.
     Required,
-    /// Nothing is set.
+    /// The key is optional and has no default.
     Unset,
-    /// This value holds.
+    /// The value that is used instead.
     Value(&'static str),
 }
 
-impl Display for Preset {
+impl Display for DefaultValue {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Required => "required",
@@ -45,17 +45,17 @@
 /// One key of a settings file; `docs/settings.md` lists all of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Key {
-    /// Section that the key stands in.
+    /// Section that contains the key.
     pub section: &'static str,
     /// Name of the key.
     pub name: &'static str,
     /// Roles that read it.
     pub scope: Scope,
-    /// Values that it takes.
+    /// Values that it accepts, as error messages state them.
     pub allowed: &'static str,
-    /// What holds when it is absent.
-    pub preset: Preset,
-    /// Unit of a number.
+    /// Default when it is absent.
+    pub default: DefaultValue,
+    /// Unit of a numeric value.
     pub unit: Option<&'static str>,
 }
 
@@ -66,38 +66,38 @@
 const PATH: &str = "a path";
 
 macro_rules! keys {
-    ($($const:ident = [$section:ident] $name:ident, $scope:ident, $allowed:expr, $preset:expr, $unit:expr;)*) => {
+    ($($const:ident = [$section:ident] $name:ident, $scope:ident, $allowed:expr, $default:expr, $unit:expr;)*) => {
         $(pub(crate) const $const: Key = Key {
             section: stringify!($section),
             name: stringify!($name),
             scope: Scope::$scope,
             allowed: $allowed,
-            preset: $preset,
+            default: $default,
             unit: $unit,
         };)*
 
-        /// All keys, in the order of the page.
+        /// All keys, in the order of `docs/settings.md`.
         pub const KEYS: &[Key] = &[$($const),*];
     };
 }
 
 keys! {
-    ROLE = [process] role, Both, "balancer or agent", Preset::Required, None;
-    PROCESS_NAME = [process] name, Both, NAME, Preset::Required, None;
-    CENTRE = [process] centre, Both, NAME, Preset::Required, None;
-    STORE = [process] store, Both, ADDRESS, Preset::Required, None;
-    ADMIN = [process] admin, Both, ADDRESS, Preset::Required, None;
-    PEERS = [process] peers, Both, ADDRESSES, Preset::Unset, None;
-    PACKETS = [balancer] packets, Balancer, ADDRESS, Preset::Required, None;
-    CONTROL = [balancer] control, Balancer, ADDRESS, Preset::Required, None;
-    THREADS = [balancer] threads, Balancer, COUNT, Preset::Value("2"), Some("threads");
-    HINTS = [balancer] hints, Balancer, COUNT, Preset::Value("200000"), Some("flows");
-    SERVICE = [agent] service, Agent, NAME, Preset::Required, None;
-    LISTEN = [agent] listen, Agent, ADDRESS, Preset::Required, None;
-    FABRIC = [agent] fabric, Agent, ADDRESS, Preset::Required, None;
-    BACKEND = [agent] backend, Agent, ADDRESS, Preset::Required, None;
-    SLOTS = [agent] slots, Agent, COUNT, Preset::Required, Some("requests");
-    LOG_FILE = [log] file, Both, PATH, Preset::Unset, None;
-    LOG_LEVEL = [log] level, Both, "error, warn, info, debug or trace", Preset::Value("info"), None;
-    STATSD = [metrics] statsd, Both, ADDRESS, Preset::Unset, None;
+    ROLE = [process] role, Both, "balancer or agent", DefaultValue::Required, None;
+    PROCESS_NAME = [process] name, Both, NAME, DefaultValue::Required, None;
+    CENTRE = [process] centre, Both, NAME, DefaultValue::Required, None;
+    STORE = [process] store, Both, ADDRESS, DefaultValue::Required, None;
+    ADMIN = [process] admin, Both, ADDRESS, DefaultValue::Required, None;
+    PEERS = [process] peers, Both, ADDRESSES, DefaultValue::Unset, None;
+    PACKETS = [balancer] packets, Balancer, ADDRESS, DefaultValue::Required, None;
+    CONTROL = [balancer] control, Balancer, ADDRESS, DefaultValue::Required, None;
+    THREADS = [balancer] threads, Balancer, COUNT, DefaultValue::Value("2"), Some("threads");
+    HINTS = [balancer] hints, Balancer, COUNT, DefaultValue::Value("200000"), Some("flows");
+    SERVICE = [agent] service, Agent, NAME, DefaultValue::Required, None;
+    LISTEN = [agent] listen, Agent, ADDRESS, DefaultValue::Required, None;
+    FABRIC = [agent] fabric, Agent, ADDRESS, DefaultValue::Required, None;
+    BACKEND = [agent] backend, Agent, ADDRESS, DefaultValue::Required, None;
+    SLOTS = [agent] slots, Agent, COUNT, DefaultValue::Required, Some("requests");
+    LOG_FILE = [log] file, Both, PATH, DefaultValue::Unset, None;
+    LOG_LEVEL = [log] level, Both, "error, warn, info, debug or trace", DefaultValue::Value("info"), None;
+    STATSD = [metrics] statsd, Both, ADDRESS, DefaultValue::Unset, None;
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -9,6 +9,6 @@
 
 pub use args::{Args, EXIT_USAGE};
 pub use error::SettingsError;
-pub use key::{KEYS, Key, Preset, Scope};
+pub use key::{DefaultValue, KEYS, Key, Scope};
 pub use logs::start as start_logs;
 pub use settings::{Role, Settings};
--- a/crates/daemon/src/logs.rs
+++ b/crates/daemon/src/logs.rs
@@ -6,10 +6,10 @@
 use log::LevelFilter;
 use miette::{IntoDiagnostic, Result, WrapErr};
 
-/// Starts the log: one line of `key=value` pairs for each event.
+/// Starts logging: each record is one line of `key=value` pairs.
 ///
 /// # Errors
-/// Fails when the log file cannot be opened or a log has been started before.
+/// Fails when the log file cannot be opened or logging has already been started.
 pub fn start(
     file: Option<&Path>,
     level: LevelFilter,
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -8,9 +8,9 @@
 const PROGRAM: &str = "marigoldusherd";
 
 fn main() -> ExitCode {
-    let line: Vec<String> = std::env::args().skip(1).collect();
-    let line: Vec<&str> = line.iter().map(String::as_str).collect();
-    let args = match Args::from_args(&[PROGRAM], &line) {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+    let args = match Args::from_args(&[PROGRAM], &arguments) {
         Ok(args) => args,
         Err(exit) if exit.status.is_ok() => {
             println!("{}", exit.output);
@@ -25,7 +25,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => {
             eprintln!("{report:?}");
-            ExitCode::from(args.failure())
+            ExitCode::from(args.failure_status())
         }
     }
 }
--- a/crates/daemon/src/section.rs
+++ b/crates/daemon/src/section.rs
@@ -3,9 +3,9 @@
 
 use indexmap::IndexMap;
 
-use crate::{Key, Preset, SettingsError};
+use crate::{DefaultValue, Key, SettingsError};
 
-/// One section of a settings file; keys are taken out as they are read.
+/// One section of a settings file; reading a key removes it.
 #[derive(Debug)]
 pub(crate) struct Section {
     file: PathBuf,
@@ -18,12 +18,12 @@
         Self { file, name, keys }
     }
 
-    /// Reads a key that has a value in the file or by default.
+    /// Reads a key that must have a value, in the file or by default.
     pub(crate) fn read<T: FromStr>(&mut self, key: &Key) -> Result<T, SettingsError> {
-        if let Some(value) = self.find(key)? {
+        if let Some(value) = self.read_optional(key)? {
             return Ok(value);
         }
-        let Preset::Value(value) = key.preset else {
+        let DefaultValue::Value(value) = key.default else {
             return Err(SettingsError::Missing {
                 file: self.file.clone(),
                 section: self.name,
@@ -35,15 +35,18 @@
     }
 
     /// Reads a key that may be absent.
-    pub(crate) fn find<T: FromStr>(&mut self, key: &Key) -> Result<Option<T>, SettingsError> {
+    pub(crate) fn read_optional<T: FromStr>(
+        &mut self,
+        key: &Key,
+    ) -> Result<Option<T>, SettingsError> {
         let Some(value) = self.keys.shift_remove(key.name) else {
             return Ok(None);
         };
         self.parse(key, &value).map(Some)
     }
 
-    /// Reads a list separated by commas; an absent key gives an empty list.
-    pub(crate) fn list<T: FromStr>(&mut self, key: &Key) -> Result<Vec<T>, SettingsError> {
+    /// Reads a comma-separated list; an absent key gives an empty list.
+    pub(crate) fn read_list<T: FromStr>(&mut self, key: &Key) -> Result<Vec<T>, SettingsError> {
         let Some(value) = self.keys.shift_remove(key.name) else {
             return Ok(Vec::new());
         };
@@ -52,10 +55,10 @@
             .map(str::trim)
             .filter(|part| !part.is_empty());
         let parsed: Result<Vec<T>, _> = parts.map(T::from_str).collect();
-        parsed.map_err(|_fault| self.invalid(key, &value))
+        parsed.map_err(|_error| self.invalid(key, &value))
     }
 
-    /// Refuses keys that nothing has read.
+    /// Fails if a key is left that has not been read.
     pub(crate) fn finish(self) -> Result<(), SettingsError> {
         match self.keys.into_keys().next() {
             Some(key) => Err(SettingsError::Key {
@@ -67,7 +70,7 @@
         }
     }
 
-    /// The error for a value that a key does not take.
+    /// The error for a value that a key does not accept.
     pub(crate) fn invalid(&self, key: &Key, value: &str) -> SettingsError {
         SettingsError::Value {
             file: self.file.clone(),
@@ -80,6 +83,6 @@
 
     fn parse<T: FromStr>(&self, key: &Key, value: &str) -> Result<T, SettingsError> {
         let parsed = value.trim().parse();
-        parsed.map_err(|_fault| self.invalid(key, value))
+        parsed.map_err(|_error| self.invalid(key, value))
     }
 }
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -14,7 +14,7 @@
 const SECTIONS: [&str; 5] = ["process", "balancer", "agent", "log", "metrics"];
 type Sections = IndexMap<String, IndexMap<String, String>>;
 
-/// What the process is to run.
+/// Role of a process, with the settings of that role.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Role {
     /// A balancer on an entry instance.
@@ -23,22 +23,22 @@
     Agent(AgentSettings),
 }
 
-/// Settings of a process, read from an INI file and checked whole.
+/// Settings of a process, read from an INI file and fully validated.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// What the process is to run.
+    /// Role of the process.
     pub role: Role,
-    /// File that log lines go to; standard error when absent.
+    /// Log file; standard error when absent.
     pub log_file: Option<PathBuf>,
-    /// Lowest level of log lines.
+    /// Least severe level that is logged.
     pub log_level: LevelFilter,
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// Fails with a [`SettingsError`] that names file, section, key, value and what is allowed.
+    /// Fails with a [`SettingsError`] that names file, section, key, value and allowed values.
     ///
     /// ```
     /// let error = usher_daemon::Settings::load("/no/such/file.ini").unwrap_err();
@@ -52,7 +52,7 @@
         };
         let text = fs::read_to_string(path).map_err(|error| unreadable(&error))?;
         let sections: Sections = serde_ini::from_str(&text).map_err(|error| unreadable(&error))?;
-        if let Some(place) = repeated(&text) {
+        if let Some(place) = find_repeated(&text) {
             let file = path.to_owned();
             return Err(SettingsError::Repeated { file, place });
         }
@@ -84,12 +84,12 @@
             "agent" => Role::Agent(agent(&mut process, take("agent"), common)?),
             _ => return Err(process.invalid(&key::ROLE, &role)),
         };
-        let log_file = log.find(&key::LOG_FILE)?;
+        let log_file = log.read_optional(&key::LOG_FILE)?;
         let log_level = log.read(&key::LOG_LEVEL)?;
         process.finish()?;
         log.finish()?;
         metrics.finish()?;
-        other_role(path, &sections)?;
+        reject_other_role(path, &sections)?;
         Ok(Self {
             role,
             log_file,
@@ -98,8 +98,8 @@
     }
 }
 
-// The parser keeps only the last of several values, which would hide the earlier ones.
-fn repeated(text: &str) -> Option<String> {
+// Finds a section or key that occurs twice; the parser would silently keep only the last value.
+fn find_repeated(text: &str) -> Option<String> {
     let mut seen = IndexSet::new();
     let mut section = String::new();
     for item in Parser::from_str(text) {
@@ -118,8 +118,8 @@
     None
 }
 
-// Keys of the other role would have no effect, so they are refused.
-fn other_role(path: &Path, sections: &Sections) -> Result<(), SettingsError> {
+// Rejects keys of the other role, because they would have no effect.
+fn reject_other_role(path: &Path, sections: &Sections) -> Result<(), SettingsError> {
     let unused = sections
         .iter()
         .find_map(|(section, keys)| Some((section, keys.keys().next()?)));
@@ -138,8 +138,8 @@
         centre: process.read(&key::CENTRE)?,
         store: process.read(&key::STORE)?,
         admin: process.read(&key::ADMIN)?,
-        peers: process.list(&key::PEERS)?,
-        statsd: metrics.find(&key::STATSD)?,
+        peers: process.read_list(&key::PEERS)?,
+        statsd: metrics.read_optional(&key::STATSD)?,
     })
 }
 
--- a/crates/daemon/tests/exit_status.rs
+++ b/crates/daemon/tests/exit_status.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::process::Command;
 
-// Arguments, exit status, and a text that the output contains.
+// Arguments, exit status, and text that the output must contain.
 const ROWS: [(&[&str], i32, &str); 5] = [
     (&["--help"], 0, "Examples"),
     (&[], 2, "--settings"),
@@ -12,16 +12,17 @@
     (&["--settings", "examples/agent.ini", "--check"], 0, "valid"),
 ];
 
-/// Guards against a supervisor that starts a process with wrong settings again and again.
+/// Guards against an exit status by which a supervisor would restart a process with wrong settings
+/// endlessly.
 #[test]
-fn statuses_tell_what_to_do() {
+fn exit_status_tells_success_from_wrong_settings() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    for (args, status, says) in ROWS {
+    for (args, status, expected) in ROWS {
         let mut command = Command::new(env!("CARGO_BIN_EXE_marigoldusherd"));
         let output = command.args(args).current_dir(&root).output().unwrap();
         let text = [output.stdout, output.stderr].concat();
         let text = String::from_utf8(text).unwrap();
         assert_eq!(output.status.code(), Some(status), "{args:?}: {text}");
-        assert!(text.contains(says), "{args:?}: {text}");
+        assert!(text.contains(expected), "{args:?}: {text}");
     }
 }
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,21 +1,21 @@
-//! Settings files: what is refused, and that code, examples and `docs/settings.md` agree.
+//! Settings files: which are rejected, and whether code, examples and `docs/settings.md` agree.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::{env, fs, process};
 
 use serde::Deserialize;
-use usher_daemon::{KEYS, Key, Preset, Role, Scope, Settings};
+use usher_daemon::{DefaultValue, KEYS, Key, Role, Scope, Settings};
 
 type Sections = BTreeMap<String, BTreeMap<String, String>>;
 
 #[derive(Deserialize)]
 struct Row {
-    guards: String,
+    failure: String,
     #[serde(default)]
     set: Sections,
     drop: Option<(String, String)>,
-    says: String,
+    message: String,
 }
 
 fn root() -> PathBuf {
@@ -28,12 +28,12 @@
     (path, serde_ini::from_str(&text).unwrap())
 }
 
-fn of_role(scope: Scope) -> impl Iterator<Item = &'static Key> {
+fn keys_of(scope: Scope) -> impl Iterator<Item = &'static Key> {
     let reads = move |key: &&Key| key.scope == Scope::Both || key.scope == scope;
     KEYS.iter().filter(reads)
 }
 
-/// Guards against the failure that each row names; each row changes a file that is accepted.
+/// Guards against the failure that each row names; each row makes a valid file invalid.
 #[test]
 fn wrong_settings_are_refused() {
     let rows: Vec<Row> = serde_json::from_str(include_str!("data/refused.json")).unwrap();
@@ -48,49 +48,49 @@
         }
         fs::write(&path, serde_ini::to_string(&sections).unwrap()).unwrap();
         let error = Settings::load(&path).unwrap_err().to_string();
-        let says = row.says.replace("FILE", path.to_str().unwrap());
-        assert!(error.starts_with(&says), "{}: {error}", row.guards);
+        let message = row.message.replace("FILE", path.to_str().unwrap());
+        assert!(error.starts_with(&message), "{}: {error}", row.failure);
     }
     fs::remove_file(&path).unwrap();
 }
 
-/// Guards against an example that is refused or lacks a key.
+/// Guards against an example file that is rejected or lacks a key.
 #[test]
 fn examples_have_every_key() {
     for (role, scope) in [("balancer", Scope::Balancer), ("agent", Scope::Agent)] {
         let (path, sections) = example(role);
         let settings = Settings::load(&path).unwrap();
         assert_eq!(matches!(settings.role, Role::Agent(_)), role == "agent");
-        for key in of_role(scope) {
+        for key in keys_of(scope) {
             let value = sections
                 .get(key.section)
                 .and_then(|keys| keys.get(key.name));
             let value = value.unwrap_or_else(|| panic!("{role}: no {} {}", key.section, key.name));
-            if let Preset::Value(preset) = key.preset {
-                assert_eq!(value, preset, "{role}: {} shows its default", key.name);
+            if let DefaultValue::Value(default) = key.default {
+                assert_eq!(value, default, "{role}: {} shows its default", key.name);
             }
         }
     }
 }
 
-/// Guards against a default in the table that the code does not use, and against a key that is
-/// called required and is not.
+/// Guards against a default in `KEYS` that the code does not use, and against a key that is
+/// listed as required but is optional.
 #[test]
 fn keys_that_are_not_required_can_be_left_out() {
     let path = env::temp_dir().join(format!("usher-presets-{}.ini", process::id()));
     for (role, scope) in [("balancer", Scope::Balancer), ("agent", Scope::Agent)] {
         let (_, full) = example(role);
-        for key in of_role(scope) {
+        for key in keys_of(scope) {
             let mut sections = full.clone();
             sections.get_mut(key.section).unwrap().remove(key.name);
             fs::write(&path, serde_ini::to_string(&sections).unwrap()).unwrap();
             let loaded = Settings::load(&path);
-            match key.preset {
-                Preset::Required => {
+            match key.default {
+                DefaultValue::Required => {
                     assert!(loaded.unwrap_err().to_string().starts_with("MU-7004"));
                 }
-                Preset::Unset => drop(loaded.unwrap()),
-                Preset::Value(_) => {
+                DefaultValue::Unset => drop(loaded.unwrap()),
+                DefaultValue::Value(_) => {
                     let file = root().join(format!("examples/{role}.ini"));
                     assert_eq!(
                         loaded.unwrap(),
@@ -105,7 +105,7 @@
     fs::remove_file(&path).unwrap();
 }
 
-/// Guards against a page that misses a key, lists one that does not exist or states another default.
+/// Guards against a page that lacks a key, lists an unknown one or states a wrong default.
 #[test]
 fn page_lists_every_key() {
     let page = fs::read_to_string(root().join("docs/settings.md")).unwrap();
@@ -125,11 +125,11 @@
                 name,
                 scope,
                 allowed,
-                preset,
+                default,
                 unit,
             } = key;
             let unit = unit.unwrap_or("-");
-            format!("| {section} | {name} | {scope} | {allowed} | {preset} | {unit}")
+            format!("| {section} | {name} | {scope} | {allowed} | {default} | {unit}")
         })
         .collect();
     assert_eq!(listed, expected);
