--- a/crates/daemon/tests/processes/deployment.rs
+++ b/crates/daemon/tests/processes/deployment.rs
@@ -15,7 +15,7 @@
 use usher_config::{Condition, Kind, ObjectKey, Value};
 use usher_platform::{Client, Request};
 use usher_platform_standin::store;
-use usher_standins::{Backend, BackendArgs, Caller, Fabric, Switches};
+use usher_standins::{Backend, BackendArgs, BackendControl, Caller, Fabric};
 use usher_store::{Limits, Store};
 use usher_types::{Profile, RequestKey, Service, Span, Version};
 
@@ -43,7 +43,7 @@
     pub ip: Ipv4Addr,
     pub fabric: Fabric,
     pub processes: IndexMap<String, Process>,
-    pub backends: IndexMap<String, Switches>,
+    pub backends: IndexMap<String, BackendControl>,
     pub peers: Vec<SocketAddrV4>,
     pub statsd: Option<SocketAddrV4>,
     store: Store,
@@ -152,11 +152,12 @@
             answer: 64,
             seed: u64::from(number),
         };
-        let switches = Switches::default();
-        let started = Backend::start_with(args, switches.clone());
+        let backend_control = BackendControl::default();
+        let started = Backend::start_with(args, backend_control.clone());
         let (_, handle) = task::block_on(started).unwrap();
         self.handles.push(handle);
-        self.backends.insert(host_name(service, number), switches);
+        self.backends
+            .insert(host_name(service, number), backend_control);
         self.add_agent(service, number);
     }
 
--- a/crates/standins/src/args.rs
+++ b/crates/standins/src/args.rs
@@ -34,7 +34,7 @@
 }
 
 impl Args {
-    /// Runs the stand-in; false if a caller saw a fault.
+    /// Runs the stand-in; false if the caller or the probe reports a failed run.
     ///
     /// # Errors
     /// Fails when an address cannot be used.
--- a/crates/standins/src/backend.rs
+++ b/crates/standins/src/backend.rs
@@ -1,7 +1,7 @@
 mod args;
+mod control;
 mod server;
-mod switches;
 
 pub use args::BackendArgs;
+pub use control::{BackendControl, Behaviour};
 pub use server::Backend;
-pub use switches::{Behaviour, Switches};
--- a/crates/standins/src/backend/switches.rs
+++ b/crates/standins/src/backend/control.rs
@@ -6,29 +6,29 @@
 /// How a backend server treats the requests that it receives.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Runs them.
+    /// Runs them normally.
     #[default]
     Normal,
-    /// Starts them and goes on when the behaviour changes.
+    /// Starts them, and finishes them only after the behaviour has changed.
     Paused,
-    /// Runs them and answers later by this time.
+    /// Runs them for this much longer.
     Late(Span),
-    /// Runs them and answers with an error.
+    /// Runs them and returns an error.
     Failing,
-    /// Does not start them.
+    /// Rejects them without starting them.
     Shedding,
 }
 
-/// Controls a running backend server and shows what it has run.
+/// Changes the behaviour of a running backend server and counts its runs.
 ///
 /// ```
-/// use usher_standins::{Behaviour, Switches};
-/// let switches = Switches::default();
-/// switches.set(Behaviour::Shedding);
-/// assert_eq!(switches.total(), 0);
+/// use usher_standins::{Behaviour, BackendControl};
+/// let control = BackendControl::default();
+/// control.set(Behaviour::Shedding);
+/// assert_eq!(control.total(), 0);
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct Switches(Arc<Mutex<State>>);
+pub struct BackendControl(Arc<Mutex<State>>);
 
 #[derive(Debug, Default)]
 struct State {
@@ -37,18 +37,18 @@
     total: usize,
 }
 
-impl Switches {
-    /// Changes the behaviour, for runs in progress as well.
+impl BackendControl {
+    /// Changes the behaviour; `Paused` and `Failing` also affect runs in progress.
     pub fn set(&self, behaviour: Behaviour) {
         self.lock().behaviour = behaviour;
     }
 
-    /// Number of times that a key has started to run.
+    /// Number of runs started for a key.
     pub fn runs(&self, key: RequestKey) -> usize {
         self.lock().runs.get(&key).copied().unwrap_or_default()
     }
 
-    /// Number of runs that have started.
+    /// Number of runs started for all keys.
     pub fn total(&self) -> usize {
         self.lock().total
     }
--- a/crates/standins/src/backend/server.rs
+++ b/crates/standins/src/backend/server.rs
@@ -16,29 +16,29 @@
 use usher_wire::{RUN_NOT_STARTED, RunRequest};
 
 use super::args::BackendArgs;
-use super::switches::{Behaviour, Switches};
+use super::control::{BackendControl, Behaviour};
 use crate::clock;
 
-const DEFAULT_TIME: Span = Span::from_millis(5);
+const DEFAULT_SERVICE_TIME: Span = Span::from_millis(5);
 const STRAGGLER_FACTOR: f64 = 30.0;
 const COLD_FACTOR: f64 = 4.0;
 const RUN_FAILED: i32 = -32_011;
 
-/// A backend server that pretends to work for a time drawn for each request.
+/// A simulated backend server that draws a random service time for each request.
 ///
 /// It prints one line `run KEY METHOD` for each request that it starts.
 #[derive(Debug)]
 pub struct Backend {
     args: BackendArgs,
-    switches: Switches,
+    control: BackendControl,
     started: Time,
     state: Mutex<State>,
 }
 
-// What a request may ask of the backend server in its body.
+// Settings of the backend server that the body of a request may override.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-struct Wish {
+struct Overrides {
     time_ms: Option<u64>,
     answer: Option<usize>,
 }
@@ -58,16 +58,16 @@
     /// # Errors
     /// Fails when the address cannot be bound.
     pub async fn start(args: BackendArgs) -> io::Result<(SocketAddr, ServerHandle)> {
-        Self::start_with(args, Switches::default()).await
+        Self::start_with(args, BackendControl::default()).await
     }
 
-    /// Serves JSON-RPC until the handle is dropped, controlled by switches.
+    /// Like [`Backend::start`], but `control` sets the behaviour and counts the runs.
     ///
     /// # Errors
     /// Fails when the address cannot be bound.
     pub async fn start_with(
         args: BackendArgs,
-        switches: Switches,
+        control: BackendControl,
     ) -> io::Result<(SocketAddr, ServerHandle)> {
         let server = Server::builder().build(SocketAddr::V4(args.listen)).await?;
         let address = server.local_addr()?;
@@ -81,7 +81,7 @@
         };
         let backend = Self {
             args,
-            switches,
+            control,
             started: clock::now(),
             state: Mutex::new(state),
         };
@@ -102,22 +102,22 @@
 
     async fn run(&self, params: &Params<'_>) -> Result<Value, ErrorObjectOwned> {
         let request: RunRequest = params.parse()?;
-        let wish: Wish = serde_json::from_str(request.body.get()).unwrap_or_default();
-        let length = self.begin(&request, &wish)?;
+        let overrides: Overrides = serde_json::from_str(request.body.get()).unwrap_or_default();
+        let duration = self.begin(&request, &overrides)?;
         println!("run {} {}", request.key, request.method);
-        let cancelled = self.work(request.run, length).await;
+        let cancelled = self.simulate_work(request.run, duration).await;
         self.end(request.run);
         if cancelled {
             return Err(failure("cancelled while running"));
         }
-        if self.switches.behaviour() == Behaviour::Failing {
+        if self.control.behaviour() == Behaviour::Failing {
             return Err(failure("failed while running"));
         }
-        let text = "x".repeat(wish.answer.unwrap_or(self.args.answer));
+        let text = "x".repeat(overrides.answer.unwrap_or(self.args.answer));
         Ok(json!({ "service": self.args.service, "key": request.key, "text": text }))
     }
 
-    fn begin(&self, request: &RunRequest, wish: &Wish) -> Result<Span, ErrorObjectOwned> {
+    fn begin(&self, request: &RunRequest, overrides: &Overrides) -> Result<Span, ErrorObjectOwned> {
         let now = clock::now();
         let mut state = self.lock();
         if request.start_by.is_some_and(|limit| now > limit) {
@@ -126,24 +126,24 @@
         if state.busy >= self.args.slots {
             return Err(not_started("no free slot"));
         }
-        let behaviour = self.switches.behaviour();
+        let behaviour = self.control.behaviour();
         if behaviour == Behaviour::Shedding {
             return Err(not_started("shedding"));
         }
         state.busy += 1;
         state.runs += 1;
-        self.switches.record(request.key);
-        let drawn = self.draw(&mut state.rng, &request.method, now);
-        let length = wish.time_ms.map_or(drawn, Span::from_millis);
+        self.control.record(request.key);
+        let drawn = self.draw_service_time(&mut state.rng, &request.method, now);
+        let duration = overrides.time_ms.map_or(drawn, Span::from_millis);
         Ok(match behaviour {
-            Behaviour::Late(extra) => length + extra,
-            _ => length,
+            Behaviour::Late(extra) => duration + extra,
+            _ => duration,
         })
     }
 
-    fn draw(&self, rng: &mut Pcg64, method: &str, now: Time) -> Span {
+    fn draw_service_time(&self, rng: &mut Pcg64, method: &str, now: Time) -> Span {
         let known = self.args.time.iter().find(|entry| entry.method == method);
-        let mean = known.map_or(DEFAULT_TIME, |entry| entry.time);
+        let mean = known.map_or(DEFAULT_SERVICE_TIME, |entry| entry.time);
         let mut factor = rng.random_range(0.5..1.5) / self.args.speed;
         if rng.random_bool(self.args.stragglers) {
             factor *= STRAGGLER_FACTOR;
@@ -154,13 +154,13 @@
         mean.scale(factor)
     }
 
-    // Works in steps, so that a cancelled run ends early.
-    async fn work(&self, run: u64, length: Span) -> bool {
+    // Waits in steps, so that a cancelled run ends early; returns whether it was cancelled.
+    async fn simulate_work(&self, run: u64, duration: Span) -> bool {
         const STEP: Span = Span::from_millis(50);
-        let end = clock::now() + length;
+        let end = clock::now() + duration;
         loop {
             let mut left = end - clock::now();
-            if self.switches.behaviour() == Behaviour::Paused {
+            if self.control.behaviour() == Behaviour::Paused {
                 left = STEP;
             }
             if left == Span::ZERO {
--- a/crates/standins/src/caller.rs
+++ b/crates/standins/src/caller.rs
@@ -1,5 +1,5 @@
-//! Callers: one with an open-loop load, in which a slow answer does not slow the requests that
-//! follow, and one that sends single requests.
+//! Two callers: one generates an open-loop load, in which slow answers do not delay later
+//! requests; the other sends single requests.
 
 mod args;
 mod connection;
--- a/crates/standins/src/caller/connection.rs
+++ b/crates/standins/src/caller/connection.rs
@@ -3,12 +3,13 @@
 use usher_flows::{Inbox, Outbox, Receipt};
 use usher_types::{Body, FlowId, MessageId, Packet, Sequence, Span, Time};
 
-const FIRST_DELAY: Span = Span::from_millis(200);
-const LAST_DELAY: Span = Span::from_secs(2);
+// Delay before an unanswered `Open` is sent again; it doubles up to the maximum.
+const FIRST_OPEN_DELAY: Span = Span::from_millis(200);
+const MAX_OPEN_DELAY: Span = Span::from_secs(2);
 
 /// A request that has no answer yet.
 #[derive(Debug, Clone)]
-pub(crate) struct Waiting {
+pub(crate) struct UnansweredRequest {
     pub(crate) load: usize,
     pub(crate) id: u64,
     pub(crate) sent: Time,
@@ -17,10 +18,11 @@
 /// The caller's side of one flow.
 #[derive(Debug)]
 pub(crate) struct Connection {
-    pub(crate) waiting: HashMap<MessageId, Waiting>,
+    pub(crate) waiting: HashMap<MessageId, UnansweredRequest>,
     flow: FlowId,
     sequence: Sequence,
     message: MessageId,
+    // When to send `Open` again and the delay before that, until the flow is accepted.
     opening: Option<(Time, Span)>,
     inbox: Inbox,
     outbox: Outbox,
@@ -44,12 +46,12 @@
     }
 
     pub(crate) fn open(&mut self, now: Time) -> Packet {
-        self.opening = Some((now + FIRST_DELAY, FIRST_DELAY));
+        self.opening = Some((now + FIRST_OPEN_DELAY, FIRST_OPEN_DELAY));
         self.packet(Body::Open)
     }
 
-    /// The request that an answer belongs to, if it still has none.
-    pub(crate) fn take(&mut self, id: u64) -> Option<Waiting> {
+    /// Removes the request with this identifier if it still has no answer.
+    pub(crate) fn take(&mut self, id: u64) -> Option<UnansweredRequest> {
         let message = self
             .waiting
             .iter()
@@ -71,7 +73,7 @@
             .collect()
     }
 
-    /// Packets to send in answer, and a whole message if one is complete.
+    /// Handles a packet; returns the packets to send and a message that it completes.
     pub(crate) fn receive(&mut self, now: Time, body: Body) -> (Vec<Packet>, Option<Vec<u8>>) {
         match body {
             Body::Accept => self.opening = None,
@@ -105,7 +107,7 @@
             if due > now {
                 return Vec::new();
             }
-            let delay = (delay * 2).min(LAST_DELAY);
+            let delay = (delay * 2).min(MAX_OPEN_DELAY);
             self.opening = Some((now + delay, delay));
             return vec![self.packet(Body::Open)];
         }
--- a/crates/standins/src/caller/driver.rs
+++ b/crates/standins/src/caller/driver.rs
@@ -12,20 +12,21 @@
 use usher_wire::{Meta, RequestMessage, ResponseMessage, decode_packet, encode_packet};
 
 use super::args::CallerArgs;
-use super::connection::{Connection, Waiting};
+use super::connection::{Connection, UnansweredRequest};
 use super::tally::Tally;
 use crate::clock;
 
-const MAX_DATAGRAM: usize = 65_536;
-const BUFFER_BYTES: usize = 8 << 20;
+const MAX_DATAGRAM_BYTES: usize = 65_536;
+const RECEIVE_BUFFER_BYTES: usize = 8 << 20;
 const FLOWS_PER_ADDRESS: usize = 50_000;
 const FIRST_PORT: u16 = 10_000;
-// An answer this long after the deadline means that the flow is broken.
-const GRACE: Span = Span::from_secs(5);
+// A flow is broken when a request on it has no answer this long after its deadline.
+const ANSWER_GRACE: Span = Span::from_secs(5);
+// A socket's read timeout must not be zero.
 const MIN_WAIT: Duration = Duration::from_micros(50);
 const SECOND: Span = Span::from_secs(1);
 
-/// Runs the load of one caller process.
+/// Generates the load of one caller process.
 #[derive(Debug)]
 pub(crate) struct Driver {
     args: CallerArgs,
@@ -33,25 +34,26 @@
     rng: Pcg64,
     start: Time,
     flows: IndexMap<FlowId, Connection>,
-    due: BinaryHeap<Reverse<(Time, Due)>>,
+    events: BinaryHeap<Reverse<(Time, Event)>>,
     tally: Tally,
     next_id: u64,
     outstanding: u64,
 }
 
+// An action at a scheduled time; `usize` is an index of a flow or load, `u32` a message number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Event {
     Open(usize),
     Request(usize),
     Timer(usize),
-    Answer(usize, u32),
+    Expiry(usize, u32),
     Progress,
 }
 
 impl Driver {
     pub(crate) fn new(args: CallerArgs) -> io::Result<Self> {
         let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
-        SockRef::from(&socket).set_recv_buffer_size(BUFFER_BYTES)?;
+        SockRef::from(&socket).set_recv_buffer_size(RECEIVE_BUFFER_BYTES)?;
         socket.connect(args.fabric)?;
         let rng = Pcg64::seed_from_u64(args.seed);
         Ok(Self {
@@ -60,7 +62,7 @@
             rng,
             start: clock::now(),
             flows: IndexMap::new(),
-            due: BinaryHeap::new(),
+            events: BinaryHeap::new(),
             tally: Tally::default(),
             next_id: 0,
             outstanding: 0,
@@ -68,13 +70,13 @@
     }
 
     pub(crate) fn run(mut self) -> io::Result<Tally> {
-        self.plan();
-        let mut buffer = vec![0; MAX_DATAGRAM];
-        while let Some(Reverse((time, due))) = self.due.peek().copied() {
+        self.schedule();
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
+        while let Some(Reverse((time, event))) = self.events.peek().copied() {
             let now = clock::now();
             if time <= now {
-                self.due.pop();
-                self.act(now, time, due);
+                self.events.pop();
+                self.handle(now, time, event);
             } else {
                 self.receive(&mut buffer, Duration::from_micros((time - now).as_micros()))?;
             }
@@ -85,8 +87,9 @@
         Ok(self.tally)
     }
 
-    // Flows open evenly over the ramp; requests follow a Poisson process for each load.
-    fn plan(&mut self) {
+    // Spreads the opening of flows evenly over the ramp; the requests of each load then follow a
+    // Poisson process.
+    fn schedule(&mut self) {
         let loads = self.args.load.clone();
         let total: usize = loads.iter().map(|load| load.flows).sum();
         for (index, load) in loads.iter().enumerate() {
@@ -95,13 +98,16 @@
                 let flow = self.flow_id(number, load.address);
                 self.flows.insert(flow, Connection::new(flow));
                 let at = self.start + self.args.ramp.scale(number as f64 / total as f64);
-                self.due.push(Reverse((at, Due::Open(number))));
+                self.events.push(Reverse((at, Event::Open(number))));
             }
-            self.due
-                .push(Reverse((self.start + self.args.ramp, Due::Request(index))));
+            self.events.push(Reverse((
+                self.start + self.args.ramp,
+                Event::Request(index),
+            )));
         }
         if self.args.progress {
-            self.due.push(Reverse((self.start + SECOND, Due::Progress)));
+            self.events
+                .push(Reverse((self.start + SECOND, Event::Progress)));
         }
     }
 
@@ -124,65 +130,65 @@
         now > self.end() && self.outstanding == 0
     }
 
-    fn act(&mut self, now: Time, planned: Time, due: Due) {
-        match due {
-            Due::Open(flow) => {
+    fn handle(&mut self, now: Time, scheduled: Time, event: Event) {
+        match event {
+            Event::Open(flow) => {
                 let packet = self.flows[flow].open(now);
                 self.send(&packet);
-                self.arm(flow);
+                self.arm_timer(flow);
             }
-            Due::Request(load) => self.request(now, planned, load),
-            Due::Timer(flow) => self.timer(now, flow),
-            Due::Answer(flow, message) => self.expire(flow, message),
-            Due::Progress => {
+            Event::Request(load) => self.request(now, scheduled, load),
+            Event::Timer(flow) => self.handle_timer(now, flow),
+            Event::Expiry(flow, message) => self.expire(flow, message),
+            Event::Progress => {
                 println!("{}", self.tally);
                 if now < self.end() {
-                    self.due.push(Reverse((now + SECOND, Due::Progress)));
+                    self.events.push(Reverse((now + SECOND, Event::Progress)));
                 }
             }
         }
     }
 
-    fn timer(&mut self, now: Time, flow: usize) {
+    fn handle_timer(&mut self, now: Time, flow: usize) {
         let connection = &mut self.flows[flow];
         if connection.next_timer().is_none_or(|due| due > now) {
             return;
         }
         let packets = connection.tick(now);
         self.send_all(&packets);
-        self.arm(flow);
+        self.arm_timer(flow);
     }
 
-    fn arm(&mut self, flow: usize) {
+    fn arm_timer(&mut self, flow: usize) {
         if let Some(due) = self.flows[flow].next_timer() {
-            self.due.push(Reverse((due, Due::Timer(flow))));
+            self.events.push(Reverse((due, Event::Timer(flow))));
         }
     }
 
-    // The next request is planned from the planned time of this one, so that delays do not add up.
-    fn request(&mut self, now: Time, planned: Time, load: usize) {
+    // Schedules the next request from the scheduled time of this one, so that delays do not add up.
+    fn request(&mut self, now: Time, scheduled: Time, load: usize) {
         if now >= self.end() {
             return;
         }
         let rate = self.args.load[load].rate.get();
         let gap = -self.rng.random::<f64>().max(f64::MIN_POSITIVE).ln() / rate;
-        self.due.push(Reverse((
-            planned + Span::from_secs_f64(gap),
-            Due::Request(load),
+        self.events.push(Reverse((
+            scheduled + Span::from_secs_f64(gap),
+            Event::Request(load),
         )));
-        if let Some(flow) = self.pick(load) {
+        if let Some(flow) = self.pick_flow(load) {
             self.send_request(now, load, flow);
         }
     }
 
-    // A random open flow of the load.
-    fn pick(&mut self, load: usize) -> Option<usize> {
-        let before: usize = self.args.load[..load]
+    // A random flow of the load, if it is open.
+    fn pick_flow(&mut self, load: usize) -> Option<usize> {
+        let first: usize = self.args.load[..load]
             .iter()
             .map(|earlier| earlier.flows)
             .sum();
         let count = self.args.load[load].flows;
-        let picked = before + self.rng.random_range(0..count);
+        let picked = first + self.rng.random_range(0..count);
         self.flows[picked].is_open().then_some(picked)
     }
 
@@ -204,13 +210,13 @@
             },
             body: Payload::from(b"{}".as_slice()),
         };
-        let limit = now + spec.deadline + GRACE;
+        let limit = now + spec.deadline + ANSWER_GRACE;
         let Ok(bytes) = request.encode() else { return };
         let connection = &mut self.flows[flow];
         let message = connection.next_message();
         connection.waiting.insert(
             message,
-            Waiting {
+            UnansweredRequest {
                 load,
                 id,
                 sent: now,
@@ -219,10 +225,10 @@
         let packets = connection.send(now, message, bytes);
         self.tally.requests += 1;
         self.outstanding += 1;
-        self.due
-            .push(Reverse((limit, Due::Answer(flow, message.get()))));
+        self.events
+            .push(Reverse((limit, Event::Expiry(flow, message.get()))));
         self.send_all(&packets);
-        self.arm(flow);
+        self.arm_timer(flow);
     }
 
     fn expire(&mut self, flow: usize, message: u32) {
@@ -231,7 +237,7 @@
             self.outstanding -= 1;
             self.tally.broken_flows += 1;
             let method = self.args.load[waiting.load].method.clone();
-            self.trace(
+            self.log_request(
                 waiting.sent,
                 flow,
                 &method,
@@ -249,7 +255,7 @@
         match self.socket.recv(buffer) {
             Ok(length) => {
                 if let Ok(packet) = decode_packet(&buffer[..length]) {
-                    self.accept(clock::now(), packet);
+                    self.receive_packet(clock::now(), packet);
                 }
                 Ok(())
             }
@@ -258,7 +264,7 @@
         }
     }
 
-    fn accept(&mut self, now: Time, packet: Packet) {
+    fn receive_packet(&mut self, now: Time, packet: Packet) {
         let Some(flow) = self.flows.get_index_of(&packet.flow) else {
             return;
         };
@@ -272,11 +278,11 @@
         self.tally.opened += u64::from(!was_open && self.flows[flow].is_open());
         self.send_all(&packets);
         if let Some(bytes) = message {
-            self.answer(now, flow, &bytes);
+            self.receive_answer(now, flow, &bytes);
         }
     }
 
-    fn answer(&mut self, now: Time, flow: usize, bytes: &[u8]) {
+    fn receive_answer(&mut self, now: Time, flow: usize, bytes: &[u8]) {
         let Ok(response) = ResponseMessage::decode(bytes) else {
             self.tally.misrouted += 1;
             return;
@@ -300,23 +306,23 @@
             }
             Outcome::NotRun { refusal, .. } => {
                 self.tally.not_run += 1;
-                self.trace(now, flow, &load.method, &format!("not run: {refusal:?}"));
+                self.log_request(now, flow, &load.method, &format!("not run: {refusal:?}"));
             }
             Outcome::Unknown => {
                 self.tally.unknown += 1;
-                self.trace(now, flow, &load.method, "outcome unknown");
+                self.log_request(now, flow, &load.method, "outcome unknown");
             }
             Outcome::Failed(_) => {
                 self.tally.failed += 1;
-                self.trace(now, flow, &load.method, "failed");
+                self.log_request(now, flow, &load.method, "failed");
             }
         }
     }
 
-    // One line for each request that was not answered, for reading after a run.
-    fn trace(&self, now: Time, flow: usize, method: &str, what: &str) {
+    // Prints a line for each request that was not answered, for analysis after the run.
+    fn log_request(&self, now: Time, flow: usize, method: &str, reason: &str) {
         eprintln!(
-            "caller: {} {method} on {}: {what}",
+            "caller: {} {method} on {}: {reason}",
             now - self.start,
             self.flow(flow)
         );
--- a/crates/standins/src/caller/load.rs
+++ b/crates/standins/src/caller/load.rs
@@ -4,12 +4,12 @@
 
 use usher_types::{Rate, ServiceName, Span};
 
-const RULE: &str = "expected SERVICE,ADDRESS,METHOD,RATE,FLOWS,DEADLINE[,once]";
+const FORMAT: &str = "expected SERVICE,ADDRESS,METHOD,RATE,FLOWS,DEADLINE[,once]";
 
 /// Requests of one method to one service.
 #[derive(Debug, Clone)]
 pub struct Load {
-    /// Service that must answer.
+    /// Service that the answers must come from.
     pub service: ServiceName,
     /// Address of the service.
     pub address: SocketAddrV4,
@@ -21,7 +21,7 @@
     pub flows: usize,
     /// Time that the caller waits for an answer.
     pub deadline: Span,
-    /// The requests may not be repeated.
+    /// The requests must not be run more than once.
     pub once: bool,
 }
 
@@ -35,23 +35,27 @@
             fields => (fields, false),
         };
         let &[service, address, method, rate, flows, deadline] = fields else {
-            return Err(RULE.to_owned());
+            return Err(FORMAT.to_owned());
         };
 
         Ok(Self {
-            service: service.parse().map_err(|error| wrong("SERVICE", &error))?,
-            address: address.parse().map_err(|error| wrong("ADDRESS", &error))?,
+            service: service
+                .parse()
+                .map_err(|error| invalid("SERVICE", &error))?,
+            address: address
+                .parse()
+                .map_err(|error| invalid("ADDRESS", &error))?,
             method: method.to_owned(),
-            rate: rate.parse().map_err(|error| wrong("RATE", &error))?,
-            flows: flows.parse().map_err(|error| wrong("FLOWS", &error))?,
+            rate: rate.parse().map_err(|error| invalid("RATE", &error))?,
+            flows: flows.parse().map_err(|error| invalid("FLOWS", &error))?,
             deadline: deadline
                 .parse()
-                .map_err(|error| wrong("DEADLINE", &error))?,
+                .map_err(|error| invalid("DEADLINE", &error))?,
             once,
         })
     }
 }
 
-fn wrong(part: &str, error: &dyn Display) -> String {
-    format!("{RULE}: wrong {part}: {error}")
+fn invalid(part: &str, error: &dyn Display) -> String {
+    format!("{FORMAT}: wrong {part}: {error}")
 }
--- a/crates/standins/src/caller/request.rs
+++ b/crates/standins/src/caller/request.rs
@@ -9,19 +9,19 @@
     pub key: RequestKey,
     /// Method name.
     pub method: String,
-    /// The request may not be repeated.
+    /// The request must not be run more than once.
     pub once: bool,
-    /// Time left.
+    /// Time left until the caller's deadline.
     pub deadline: Span,
-    /// Number of this transmission.
+    /// Number of this attempt, from 1.
     pub attempt: Attempt,
-    /// Time since the first transmission.
+    /// Time since the first attempt.
     pub age: Span,
     /// Attempts left across all layers.
     pub budget: Option<Budget>,
-    /// Time that the backend server works, drawn by it when absent.
+    /// Service time; the backend server draws it when absent.
     pub time: Option<Span>,
-    /// Characters in the answer's text, the backend server's default when absent.
+    /// Characters in the answer's text; the backend server's default when absent.
     pub answer: Option<usize>,
 }
 
--- a/crates/standins/src/caller/run.rs
+++ b/crates/standins/src/caller/run.rs
@@ -4,7 +4,9 @@
 use super::driver::Driver;
 
 impl CallerArgs {
-    /// Runs the load and prints the result; true if no flow broke and no answer was misrouted.
+    /// Runs the load and prints the result.
+    ///
+    /// True if no outcome is unknown, no flow broke and no answer came from another service.
     ///
     /// # Errors
     /// Fails when the socket cannot be opened.
--- a/crates/standins/src/caller/single.rs
+++ b/crates/standins/src/caller/single.rs
@@ -16,10 +16,10 @@
 use super::request::Request;
 use crate::clock;
 
-const MAX_DATAGRAM: usize = 65_536;
-const BUFFER_BYTES: usize = 8 << 20;
+const MAX_DATAGRAM_BYTES: usize = 65_536;
+const RECEIVE_BUFFER_BYTES: usize = 8 << 20;
 const FIRST_PORT: u16 = 10_000;
-const IDLE: Duration = Duration::from_mins(1);
+const IDLE_WAIT: Duration = Duration::from_mins(1);
 
 /// A caller that sends single requests over flows that it opens.
 #[derive(Debug)]
@@ -30,7 +30,7 @@
     resets: Arc<AtomicU64>,
 }
 
-/// A request that has been sent.
+/// A request that has been sent; its outcome can be awaited.
 #[derive(Debug)]
 pub struct Pending(mpsc::Receiver<Outcome>);
 
@@ -51,7 +51,7 @@
 }
 
 impl Caller {
-    /// Starts a caller behind a fabric; `address` is in its flow identities.
+    /// Starts a caller that sends to a fabric; its flows have `address` as caller address.
     ///
     /// # Errors
     /// Fails when the socket cannot be opened.
@@ -65,11 +65,11 @@
     /// ```
     pub fn start(fabric: SocketAddr, address: Ipv4Addr) -> io::Result<Self> {
         let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
-        SockRef::from(&socket).set_recv_buffer_size(BUFFER_BYTES)?;
+        SockRef::from(&socket).set_recv_buffer_size(RECEIVE_BUFFER_BYTES)?;
         socket.connect(fabric)?;
         let (commands, receiver) = mpsc::channel();
         let (reader, incoming) = (socket.try_clone()?, commands.clone());
-        thread::spawn(move || read(&reader, &incoming));
+        thread::spawn(move || receive_packets(&reader, &incoming));
         let resets = Arc::default();
         let worker = Worker {
             socket,
@@ -87,7 +87,7 @@
         })
     }
 
-    /// Opens a flow and waits until an agent holds it; `None` after `limit`.
+    /// Opens a flow and waits until an agent accepts it; `None` after `limit`.
     pub fn open(&self, service: SocketAddrV4, limit: Duration) -> Option<FlowId> {
         let number = self.flows.fetch_add(1, Ordering::Relaxed);
         let flow = FlowId {
@@ -104,7 +104,7 @@
     pub fn send(&self, flow: FlowId, request: &Request) -> Pending {
         let (sender, receiver) = mpsc::channel();
         let command = Command::Send(flow, Box::new(request.clone()), sender);
-        // Without a worker the request stays unanswered.
+        // If the worker has ended, the request stays unanswered.
         let _ = self.commands.send(command);
         Pending(receiver)
     }
@@ -122,10 +122,10 @@
     }
 }
 
-fn read(socket: &UdpSocket, received: &mpsc::Sender<Command>) {
-    let mut buffer = vec![0; MAX_DATAGRAM];
+fn receive_packets(socket: &UdpSocket, received: &mpsc::Sender<Command>) {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        // The fabric may have gone; its refusals concern no packet.
+        // A closed port of the fabric is reported here; it concerns no received packet.
         let Ok(length) = socket.recv(&mut buffer) else {
             continue;
         };
@@ -139,14 +139,14 @@
 
 impl Worker {
     fn run(mut self, commands: &mpsc::Receiver<Command>) {
-        let mut next = 0;
+        let mut next_id = 0;
         loop {
             let now = clock::now();
             self.tick(now);
             match commands.recv_timeout(self.wait(now)) {
                 Ok(command) => {
-                    next += 1;
-                    self.handle(next, command);
+                    next_id += 1;
+                    self.handle(next_id, command);
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
@@ -156,7 +156,9 @@
 
     fn wait(&self, now: Time) -> Duration {
         let due = self.flows.values().filter_map(Connection::next_timer).min();
-        due.map_or(IDLE, |due| Duration::from_micros((due - now).as_micros()))
+        due.map_or(IDLE_WAIT, |due| {
+            Duration::from_micros((due - now).as_micros())
+        })
     }
 
     fn tick(&mut self, now: Time) {
@@ -208,7 +210,7 @@
         if connection.is_open()
             && let Some(opened) = self.opening.remove(&packet.flow)
         {
-            // Nobody may be waiting any more.
+            // The caller may have stopped waiting.
             let _ = opened.send(());
         }
         self.send_all(&packets);
--- a/crates/standins/src/caller/tally.rs
+++ b/crates/standins/src/caller/tally.rs
@@ -6,9 +6,9 @@
 use usher_types::Span;
 
 const MAX_LATENCY_US: u64 = 600_000_000;
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Counts of a run.
+/// Counts of requests by outcome, and latencies by method, of one run.
 #[derive(Debug, Default)]
 pub(crate) struct Tally {
     pub(crate) requests: u64,
@@ -73,7 +73,7 @@
 }
 
 fn new_histogram() -> Histogram<u64> {
-    Histogram::new_with_max(MAX_LATENCY_US, DIGITS)
+    Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS)
         .unwrap_or_else(|error| unreachable!("the bounds are valid: {error}"))
 }
 
--- a/crates/standins/src/clock.rs
+++ b/crates/standins/src/clock.rs
@@ -1,7 +1,7 @@
 use rustix::time::{ClockId, clock_gettime};
 use usher_types::Time;
 
-/// The host's monotonic clock, which all processes on the host share.
+/// Time of the host's monotonic clock, which all processes on the host share.
 pub(crate) fn now() -> Time {
     let spec = clock_gettime(ClockId::Monotonic);
     Time::from_micros(spec.tv_sec as u64 * 1_000_000 + spec.tv_nsec as u64 / 1_000)
--- a/crates/standins/src/fabric.rs
+++ b/crates/standins/src/fabric.rs
@@ -1,4 +1,4 @@
-//! A fabric that hands each packet of a caller to any balancer.
+//! A simulated fabric that forwards each packet of a caller to a random balancer.
 
 mod args;
 mod network;
--- a/crates/standins/src/fabric/network.rs
+++ b/crates/standins/src/fabric/network.rs
@@ -17,11 +17,11 @@
 use super::path::Path;
 use crate::clock;
 
-const MAX_DATAGRAM: usize = 65_536;
-const BUFFER_BYTES: usize = 8 << 20;
-const IDLE: Duration = Duration::from_mins(1);
+const MAX_DATAGRAM_BYTES: usize = 65_536;
+const RECEIVE_BUFFER_BYTES: usize = 8 << 20;
+const IDLE_WAIT: Duration = Duration::from_mins(1);
 
-/// A running fabric; its balancers and faults can change.
+/// A running fabric; its balancers and faults can be replaced at any time.
 #[derive(Debug)]
 pub struct Fabric {
     callers: SocketAddr,
@@ -36,12 +36,12 @@
     callers: HashMap<Ipv4Addr, SocketAddr>,
     faults: PathFaults,
     rng: Pcg64,
-    outside: UdpSocket,
+    caller_socket: UdpSocket,
 }
 
 // A packet to be delivered later.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Late {
+struct DelayedPacket {
     due: Time,
     direction: Direction,
     bytes: Vec<u8>,
@@ -49,8 +49,8 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Direction {
-    Balancers,
-    Callers,
+    ToBalancers,
+    ToCallers,
 }
 
 impl Fabric {
@@ -66,29 +66,29 @@
     /// # Ok::<(), std::io::Error>(())
     /// ```
     pub fn start(callers: SocketAddrV4, answers: SocketAddrV4, seed: u64) -> io::Result<Self> {
-        let (outside, inside) = (bind(callers)?, bind(answers)?);
-        let (callers, answers) = (outside.local_addr()?, inside.local_addr()?);
+        let (caller_socket, agent_socket) = (bind(callers)?, bind(answers)?);
+        let (callers, answers) = (caller_socket.local_addr()?, agent_socket.local_addr()?);
         let state = Arc::new(Mutex::new(State {
             paths: Vec::new(),
             callers: HashMap::new(),
             faults: PathFaults::default(),
             rng: Pcg64::seed_from_u64(seed),
-            outside: outside.try_clone()?,
+            caller_socket: caller_socket.try_clone()?,
         }));
         let (sender, receiver) = mpsc::channel();
         let readers = [
-            (outside, Direction::Balancers),
-            (inside, Direction::Callers),
+            (caller_socket, Direction::ToBalancers),
+            (agent_socket, Direction::ToCallers),
         ];
         let mut threads: Vec<_> = readers
             .into_iter()
             .map(|(socket, direction)| {
-                let (state, late) = (Arc::clone(&state), sender.clone());
-                thread::spawn(move || read(&socket, direction, &state, &late))
+                let (state, delayed) = (Arc::clone(&state), sender.clone());
+                thread::spawn(move || forward_packets(&socket, direction, &state, &delayed))
             })
             .collect();
-        let delayed = Arc::clone(&state);
-        threads.push(thread::spawn(move || deliver_late(&receiver, &delayed)));
+        let shared = Arc::clone(&state);
+        threads.push(thread::spawn(move || deliver_delayed(&receiver, &shared)));
         Ok(Self {
             callers,
             answers,
@@ -117,7 +117,7 @@
         Ok(())
     }
 
-    /// Replaces the faults of the paths.
+    /// Replaces the faults that packets undergo.
     pub fn set_faults(&self, faults: PathFaults) {
         lock(&self.state).faults = faults;
     }
@@ -135,26 +135,26 @@
 impl State {
     fn send(&mut self, direction: Direction, bytes: &[u8]) {
         match direction {
-            Direction::Balancers => Path::send_to_any(&mut self.paths, &mut self.rng, bytes),
-            Direction::Callers => self.send_to_caller(bytes),
+            Direction::ToBalancers => Path::send_to_any(&mut self.paths, &mut self.rng, bytes),
+            Direction::ToCallers => self.send_to_caller(bytes),
         }
     }
 
-    // Answers go to the caller whose address the packet names.
+    // An answer goes to the process that last sent with the caller address of its flow.
     fn send_to_caller(&self, bytes: &[u8]) {
         let Ok(packet) = decode_packet(bytes) else {
             return;
         };
         if let Some(target) = self.callers.get(packet.flow.caller.ip()) {
             // A lost datagram is sent again by the flow's timers.
-            let _ = self.outside.send_to(bytes, target);
+            let _ = self.caller_socket.send_to(bytes, target);
         }
     }
 }
 
 fn bind(address: SocketAddrV4) -> io::Result<UdpSocket> {
     let socket = UdpSocket::bind(address)?;
-    SockRef::from(&socket).set_recv_buffer_size(BUFFER_BYTES)?;
+    SockRef::from(&socket).set_recv_buffer_size(RECEIVE_BUFFER_BYTES)?;
     Ok(socket)
 }
 
@@ -162,30 +162,35 @@
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn read(socket: &UdpSocket, direction: Direction, state: &Mutex<State>, late: &mpsc::Sender<Late>) {
-    let mut buffer = vec![0; MAX_DATAGRAM];
+fn forward_packets(
+    socket: &UdpSocket,
+    direction: Direction,
+    state: &Mutex<State>,
+    delayed: &mpsc::Sender<DelayedPacket>,
+) {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        // A refused datagram to a process that has gone is reported here and concerns no packet.
+        // An earlier send to a closed port is reported here; it concerns no received packet.
         let Ok((length, from)) = socket.recv_from(&mut buffer) else {
             continue;
         };
         let bytes = &buffer[..length];
         let mut state = lock(state);
-        if direction == Direction::Balancers
+        if direction == Direction::ToBalancers
             && let Ok(packet) = decode_packet(bytes)
         {
             state.callers.insert(*packet.flow.caller.ip(), from);
         }
         let faults = state.faults;
-        for delay in faults.copies(&mut state.rng) {
+        for delay in faults.draw_copies(&mut state.rng) {
             if delay == Span::ZERO {
                 state.send(direction, bytes);
                 continue;
             }
             let due = clock::now() + delay;
             let bytes = bytes.to_vec();
-            // The receiver ends with the process.
-            let _ = late.send(Late {
+            // The receiving thread runs as long as the process.
+            let _ = delayed.send(DelayedPacket {
                 due,
                 direction,
                 bytes,
@@ -194,26 +199,28 @@
     }
 }
 
-fn deliver_late(packets: &mpsc::Receiver<Late>, state: &Mutex<State>) {
-    let mut queue: BinaryHeap<Reverse<Late>> = BinaryHeap::new();
+fn deliver_delayed(packets: &mpsc::Receiver<DelayedPacket>, state: &Mutex<State>) {
+    let mut queue: BinaryHeap<Reverse<DelayedPacket>> = BinaryHeap::new();
     loop {
         let now = clock::now();
-        while let Some(late) = pop_due(&mut queue, now) {
-            lock(state).send(late.direction, &late.bytes);
+        while let Some(delayed) = pop_due(&mut queue, now) {
+            lock(state).send(delayed.direction, &delayed.bytes);
         }
-        let wait = queue.peek().map_or(IDLE, |Reverse(late)| {
-            Duration::from_micros((late.due - now).as_micros())
+        let wait = queue.peek().map_or(IDLE_WAIT, |Reverse(delayed)| {
+            Duration::from_micros((delayed.due - now).as_micros())
         });
         match packets.recv_timeout(wait) {
-            Ok(late) => queue.push(Reverse(late)),
+            Ok(delayed) => queue.push(Reverse(delayed)),
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
     }
 }
 
-fn pop_due(queue: &mut BinaryHeap<Reverse<Late>>, now: Time) -> Option<Late> {
-    let is_due = queue.peek().is_some_and(|Reverse(late)| late.due <= now);
+fn pop_due(queue: &mut BinaryHeap<Reverse<DelayedPacket>>, now: Time) -> Option<DelayedPacket> {
+    let is_due = queue
+        .peek()
+        .is_some_and(|Reverse(delayed)| delayed.due <= now);
     let popped = is_due.then(|| queue.pop()).flatten();
-    popped.map(|Reverse(late)| late)
+    popped.map(|Reverse(delayed)| delayed)
 }
--- a/crates/standins/src/fabric/path.rs
+++ b/crates/standins/src/fabric/path.rs
@@ -7,14 +7,14 @@
 
 use crate::clock;
 
-// A balancer whose port is closed is left out for this long.
-const CLOSED_PORT: Span = Span::from_secs(1);
+// A balancer with a closed port gets no packets for this long.
+const CLOSED_PORT_PAUSE: Span = Span::from_secs(1);
 
-/// Way to one balancer; a connected socket reports a closed port at the next send.
+/// Path to one balancer; its connected socket reports a closed port at the next send.
 #[derive(Debug)]
 pub(crate) struct Path {
     socket: UdpSocket,
-    retry: Time,
+    retry_at: Time,
 }
 
 impl Path {
@@ -23,18 +23,18 @@
         socket.connect(balancer)?;
         Ok(Self {
             socket,
-            retry: Time::ZERO,
+            retry_at: Time::ZERO,
         })
     }
 
-    /// Tries paths in random order until one takes the packet.
+    /// Tries the paths in random order until one sends the packet.
     pub(crate) fn send_to_any(paths: &mut [Self], rng: &mut Pcg64, bytes: &[u8]) {
         let now = clock::now();
         paths.shuffle(rng);
-        for path in paths.iter_mut().filter(|path| path.retry <= now) {
+        for path in paths.iter_mut().filter(|path| path.retry_at <= now) {
             match path.socket.send(bytes) {
                 Ok(_) => return,
-                Err(_) => path.retry = now + CLOSED_PORT,
+                Err(_) => path.retry_at = now + CLOSED_PORT_PAUSE,
             }
         }
     }
--- a/crates/standins/src/fabric/path_faults.rs
+++ b/crates/standins/src/fabric/path_faults.rs
@@ -2,7 +2,7 @@
 use rand_pcg::Pcg64;
 use usher_types::Span;
 
-/// Faults of the paths in both directions, none by default.
+/// Loss, duplication and delay of packets in both directions; none by default.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct PathFaults {
     /// Share of packets lost, from 0 to 1.
@@ -14,8 +14,8 @@
 }
 
 impl PathFaults {
-    /// Delay of each copy of a packet that is delivered.
-    pub(crate) fn copies(&self, rng: &mut Pcg64) -> Vec<Span> {
+    /// Draws the copies of a packet that are delivered; returns the delay of each.
+    pub(crate) fn draw_copies(&self, rng: &mut Pcg64) -> Vec<Span> {
         let count = if rng.random_bool(self.loss) {
             0
         } else {
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,4 +1,4 @@
-//! Test stand-ins for the platform's fabric, a backend server and a caller.
+//! Test stand-ins for the platform's fabric, a backend server and callers.
 
 mod args;
 mod backend;
@@ -8,7 +8,7 @@
 mod probe;
 
 pub use args::Args;
-pub use backend::{Backend, BackendArgs, Behaviour, Switches};
+pub use backend::{Backend, BackendArgs, BackendControl, Behaviour};
 pub use caller::{Caller, CallerArgs, Pending, Request};
 pub use fabric::{Fabric, FabricArgs, PathFaults};
 pub use probe::ProbeArgs;
--- a/crates/standins/src/probe.rs
+++ b/crates/standins/src/probe.rs
@@ -17,15 +17,16 @@
 
 use crate::clock;
 
-const MAX_DATAGRAM: usize = 65_536;
-const BUFFER_BYTES: usize = 8 << 20;
+const MAX_DATAGRAM_BYTES: usize = 65_536;
+const RECEIVE_BUFFER_BYTES: usize = 8 << 20;
 const FLOWS_PER_ADDRESS: usize = 50_000;
 const FIRST_PORT: u16 = 10_000;
+// 10.2.0.1
 const FIRST_ADDRESS: u32 = 0x0a02_0001;
 const MAX_LATENCY_US: u64 = 60_000_000;
-const DIGITS: u8 = 3;
-// Answers that take longer than this count as lost.
-const GRACE: Duration = Duration::from_millis(500);
+const SIGNIFICANT_DIGITS: u8 = 3;
+// The probe stops receiving after this long without an answer; later answers count as lost.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// packets that open flows, or repeat an opening, at a fixed rate; stands for fabric and callers
 #[derive(Debug, Clone, FromArgs)]
@@ -57,22 +58,24 @@
     packets: usize,
 }
 
-// When each flow's latest packet was sent, in microseconds; 0 when it has been answered.
-type Sent = Arc<[AtomicU64]>;
+// Time of each flow's latest packet in microseconds; 0 before it is sent and once it is answered.
+type SendTimes = Arc<[AtomicU64]>;
 
 impl ProbeArgs {
-    /// Sends all packets, prints counts and latencies as JSON; false if a packet was not answered.
+    /// Sends all packets and prints counts and latencies as JSON.
+    ///
+    /// False if a packet was not answered.
     ///
     /// # Errors
     /// Fails when a socket cannot be opened or used.
     pub fn run(self) -> io::Result<bool> {
         let socket = UdpSocket::bind(self.listen)?;
-        SockRef::from(&socket).set_recv_buffer_size(BUFFER_BYTES)?;
-        let sent: Sent = (0..self.flows).map(|_| AtomicU64::new(0)).collect();
+        SockRef::from(&socket).set_recv_buffer_size(RECEIVE_BUFFER_BYTES)?;
+        let sent: SendTimes = (0..self.flows).map(|_| AtomicU64::new(0)).collect();
         let reader = {
             let (socket, sent, first) = (socket.try_clone()?, Arc::clone(&sent), self.first);
-            socket.set_read_timeout(Some(GRACE))?;
-            thread::spawn(move || collect(&socket, &sent, first))
+            socket.set_read_timeout(Some(ANSWER_TIMEOUT))?;
+            thread::spawn(move || collect_latencies(&socket, &sent, first))
         };
         let start = clock::now();
         self.send(&socket, &sent, start)?;
@@ -84,19 +87,19 @@
         Ok(latencies.len() == self.packets as u64)
     }
 
-    // The rate holds whether answers come or not.
-    fn send(&self, socket: &UdpSocket, sent: &Sent, start: Time) -> io::Result<()> {
+    // Open loop: the rate does not depend on the answers.
+    fn send(&self, socket: &UdpSocket, sent: &SendTimes, start: Time) -> io::Result<()> {
         for number in 0..self.packets {
             let due = start + Span::from_secs_f64(number as f64 / self.rate.get());
-            let early = due.since(clock::now());
-            if early > Span::ZERO {
-                thread::sleep(Duration::from_micros(early.as_micros()));
+            let remaining = due.since(clock::now());
+            if remaining > Span::ZERO {
+                thread::sleep(Duration::from_micros(remaining.as_micros()));
             }
-            // In turn, so that a flow has its answer before its next packet.
-            let place = number % self.flows;
-            let bytes = self.datagram(self.first + place)?;
-            sent[place].store(clock::now().as_micros(), Ordering::Release);
-            // A refused datagram counts as not answered.
+            // Flows take turns, so that a flow has its answer before its next packet.
+            let index = number % self.flows;
+            let bytes = self.datagram(self.first + index)?;
+            sent[index].store(clock::now().as_micros(), Ordering::Release);
+            // A datagram that cannot be sent counts as not answered.
             let _ = socket.send_to(&bytes, self.target);
         }
         Ok(())
@@ -112,6 +115,7 @@
             None => encode_packet(&packet),
             Some(service) => encode_message(&Message::Relay(Relay {
                 service: service.clone(),
+                // An agent drops relays of an older generation than its own.
                 generation: Generation::new(u64::MAX),
                 roster: Version::default(),
                 route: vec![self.target],
@@ -150,23 +154,23 @@
     }
 }
 
-// Ends when no answer has come for the time of `GRACE`.
-fn collect(socket: &UdpSocket, sent: &Sent, first: usize) -> Histogram<u64> {
-    let mut latencies = Histogram::new_with_max(MAX_LATENCY_US, DIGITS)
+// Receives answers until none has come for `ANSWER_TIMEOUT`.
+fn collect_latencies(socket: &UdpSocket, sent: &SendTimes, first: usize) -> Histogram<u64> {
+    let mut latencies = Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS)
         .unwrap_or_else(|error| unreachable!("the bounds are valid: {error}"));
-    let mut buffer = vec![0; MAX_DATAGRAM];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     while let Ok((length, _)) = socket.recv_from(&mut buffer) {
         let now = clock::now().as_micros();
         let Ok(packet) = decode_packet(&buffer[..length]) else {
             continue;
         };
-        let place = (packet.flow.nonce as usize).checked_sub(first);
-        let Some(sent) = place.and_then(|place| sent.get(place)) else {
+        let index = (packet.flow.nonce as usize).checked_sub(first);
+        let Some(sent) = index.and_then(|index| sent.get(index)) else {
             continue;
         };
-        let at = sent.swap(0, Ordering::AcqRel);
-        if packet.body == Body::Accept && at > 0 {
-            latencies.saturating_record(now.saturating_sub(at));
+        let sent_at = sent.swap(0, Ordering::AcqRel);
+        if packet.body == Body::Accept && sent_at > 0 {
+            latencies.saturating_record(now.saturating_sub(sent_at));
         }
     }
     latencies
