--- a/crates/daemon/tests/exit_status.rs
+++ b/crates/daemon/tests/exit_status.rs
@@ -12,8 +12,7 @@
     (&["--settings", "examples/agent.ini", "--check"], 0, "valid"),
 ];
 
-/// Guards against an exit status by which a supervisor would restart a process with wrong settings
-/// endlessly.
+/// Guards against a supervisor that restarts a process with wrong settings endlessly.
 #[test]
 fn exit_status_tells_success_from_wrong_settings() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
--- a/crates/daemon/tests/processes/datagrams.rs
+++ b/crates/daemon/tests/processes/datagrams.rs
@@ -5,20 +5,20 @@
 use serde::Deserialize;
 use usher_types::Outcome;
 
-use crate::deployment::{ANSWER, BOOKING, Deployment, await_until};
+use crate::deployment::{ANSWER_LIMIT, BOOKING, Deployment, await_until};
 use crate::load::{open, read};
 
 const ROWS: &str = include_str!("data/datagrams.json");
 // Each of a balancer's two traffic threads reports its counts in batches of this many datagrams.
-const BATCH: usize = 256;
+const REPORT_BATCH: usize = 256;
 const THREADS: usize = 2;
-// Datagrams sent again at each check, for those that a full socket buffer dropped.
-const MORE: usize = 16;
+// More datagrams at each check, in place of those that a full socket buffer dropped.
+const EXTRA: usize = 16;
 
 #[derive(Deserialize)]
 struct Row {
     name: String,
-    // Bytes in hexadecimal, repeated.
+    // Bytes in hexadecimal, to be repeated.
     bytes: String,
     repeat: usize,
 }
@@ -31,8 +31,8 @@
     }
 }
 
-// Totals of the counters whose names end in "malformed", read from statsd lines.
-fn malformed(statsd: &UdpSocket, role: &str, total: &mut usize) -> usize {
+// Adds up the counters of a role whose names end in "malformed", read from statsd lines.
+fn count_malformed(statsd: &UdpSocket, role: &str, total: &mut usize) -> usize {
     let mut buffer = vec![0; 65_536];
     loop {
         match statsd.recv(&mut buffer) {
@@ -63,7 +63,7 @@
     deployment.statsd = Some(address);
     deployment.add_balancer(1);
     deployment.add_host(BOOKING, 1);
-    deployment.spray_to(&[1]);
+    deployment.distribute_to(&[1]);
     deployment.await_members(BOOKING, 1);
     let caller = deployment.caller();
     let flow = open(&caller, BOOKING, 1)[0];
@@ -79,20 +79,20 @@
         let datagram = row.datagram();
         for (role, target) in targets {
             let mut total = 0;
-            malformed(&statsd, role, &mut total);
+            count_malformed(&statsd, role, &mut total);
             total = 0;
-            for _ in 0..THREADS * BATCH {
+            for _ in 0..THREADS * REPORT_BATCH {
                 socket.send_to(&datagram, target).unwrap();
             }
             let what = format!("counts of {} by the {role} at {target}", row.name);
             await_until(&what, Duration::from_secs(5), || {
-                for _ in 0..MORE {
+                for _ in 0..EXTRA {
                     socket.send_to(&datagram, target).unwrap();
                 }
-                malformed(&statsd, role, &mut total) >= BATCH / 2
+                count_malformed(&statsd, role, &mut total) >= REPORT_BATCH / 2
             });
         }
-        let outcome = caller.send(flow, &read()).wait(ANSWER);
+        let outcome = caller.send(flow, &read()).wait(ANSWER_LIMIT);
         assert!(
             matches!(outcome, Some(Outcome::Answered(_))),
             "{}",
--- a/crates/daemon/tests/processes/deployment.rs
+++ b/crates/daemon/tests/processes/deployment.rs
@@ -24,16 +24,16 @@
 pub const BOOKING: &str = "booking-desk";
 pub const MAPS: &str = "map-office";
 pub const SLOTS: usize = 3;
-pub const START: Duration = Duration::from_secs(30);
-pub const ANSWER: Duration = Duration::from_secs(20);
-const POLL: Duration = Duration::from_millis(20);
-const CALL: Duration = Duration::from_secs(2);
+pub const START_LIMIT: Duration = Duration::from_secs(30);
+pub const ANSWER_LIMIT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 const CENTRES: [&str; 3] = ["riga-centrs", "riga-purvciems", "riga-agenskalns"];
 const STORE_PORT: u16 = 1_000;
 const FABRIC_PORT: u16 = 1_001;
 const BALANCER_PORT: u16 = 2_000;
 const HOST_PORT: u16 = 3_000;
-const PORTS_EACH: u16 = 10;
+const PORTS_PER_PROCESS: u16 = 10;
 
 /// A whole deployment on a loopback address of its own, so that deployments share no port.
 ///
@@ -58,7 +58,7 @@
     let until = Instant::now() + limit;
     while !condition() {
         assert!(Instant::now() < until, "timed out waiting for {what}");
-        thread::sleep(POLL);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -72,11 +72,12 @@
     /// Starts store and fabric and writes profiles and services.
     pub fn new(name: &str) -> Self {
         static NUMBER: AtomicU8 = AtomicU8::new(1);
+        // The address contains the process id, so that test processes share no port either.
         let [.., high, low] = (std::process::id() % 62_500).to_be_bytes();
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
         let ip = Ipv4Addr::new(127, 1 + high, low, number);
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-        // An earlier run may have left logs.
+        // An earlier run may have left logs behind.
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(&folder).unwrap();
         let store = SocketAddrV4::new(ip, STORE_PORT);
@@ -108,7 +109,7 @@
         deployment
     }
 
-    /// Starts balancers and hosts of `booking-desk` and waits until requests are served.
+    /// Starts balancers and hosts of `booking-desk`; waits until non-repeatable requests are run.
     pub fn start(name: &str, balancers: u16, hosts: u16) -> Self {
         let mut deployment = Self::new(name);
         for number in 1..=balancers {
@@ -118,22 +119,22 @@
             deployment.add_host(BOOKING, number);
         }
         let numbers: Vec<u16> = (1..=balancers).collect();
-        deployment.spray_to(&numbers);
+        deployment.distribute_to(&numbers);
         deployment.await_members(BOOKING, usize::from(hosts));
-        deployment.await_in_force(START);
-        deployment.await_once();
+        deployment.await_in_force(START_LIMIT);
+        deployment.await_grants();
         deployment
     }
 
     pub fn add_balancer(&mut self, number: u16) {
         let name = format!("entry-{number}");
-        let port = BALANCER_PORT + PORTS_EACH * number;
+        let port = BALANCER_PORT + PORTS_PER_PROCESS * number;
         let [packets, control] = [1, 2].map(|offset| self.address(port + offset));
         let section = format!("[balancer]\npackets = {packets}\ncontrol = {control}\n");
         self.launch(&name, "balancer", port, &section);
     }
 
-    /// Stops the backend server that was started as the given one, counted from 1.
+    /// Stops a backend server by its number in the order of their start, from 1.
     pub fn stop_backend(&self, number: usize) {
         self.handles[number - 1].stop().unwrap();
     }
@@ -185,7 +186,7 @@
 
     /// UDP addresses of a balancer for packets and for heartbeats.
     pub fn balancer_addresses(&self, number: u16) -> [SocketAddrV4; 2] {
-        let port = BALANCER_PORT + PORTS_EACH * number;
+        let port = BALANCER_PORT + PORTS_PER_PROCESS * number;
         [self.address(port + 1), self.address(port + 2)]
     }
 
@@ -193,8 +194,8 @@
         self.admins[name]
     }
 
-    /// Lets the fabric spray packets over these balancers.
-    pub fn spray_to(&self, balancers: &[u16]) {
+    /// Makes the fabric distribute packets over these balancers.
+    pub fn distribute_to(&self, balancers: &[u16]) {
         let addresses: Vec<_> = balancers
             .iter()
             .map(|number| self.balancer_addresses(*number)[0])
@@ -216,13 +217,13 @@
     pub fn call(&self, name: &str, method: &str) -> Option<Json> {
         let address = self.admin(name);
         let client = HttpClientBuilder::default()
-            .request_timeout(CALL)
+            .request_timeout(CALL_TIMEOUT)
             .build(format!("http://{address}"))
             .unwrap();
         task::block_on(async { client.request(method, rpc_params![]).await.ok() })
     }
 
-    /// Configuration version that a process has in force.
+    /// Version of the configuration that a process has in force.
     pub fn revision(&self, name: &str) -> Option<u64> {
         self.call(name, "status")?["revision"].as_u64()
     }
@@ -241,20 +242,20 @@
     }
 
     /// Sets the fault switches of the store.
-    pub fn store_faults(&self, faults: &Json) {
+    pub fn set_store_faults(&self, faults: &Json) {
         let request = Request {
             method: "PUT",
             path: "/faults".to_owned(),
             body: faults.to_string(),
         };
         let mut client = Client::new(SocketAddrV4::new(self.ip, STORE_PORT));
-        let limit = Span::from_micros(CALL.as_micros() as u64);
+        let limit = Span::from_micros(CALL_TIMEOUT.as_micros() as u64);
         let reply = task::block_on(async { client.call(&request, limit).await });
         assert_eq!(reply.unwrap().status, 204);
     }
 
-    pub fn store_works(&self) {
-        self.store_faults(&json!({}));
+    pub fn clear_store_faults(&self) {
+        self.set_store_faults(&json!({}));
     }
 
     /// Hosts in the roster of a service.
@@ -268,7 +269,9 @@
     }
 
     pub fn await_members(&self, service: &str, count: usize) {
-        await_until("the roster", START, || self.members(service).len() == count);
+        await_until("the roster", START_LIMIT, || {
+            self.members(service).len() == count
+        });
     }
 
     /// Waits until every running process has the newest configuration in force.
@@ -289,18 +292,19 @@
             .sum()
     }
 
-    // Key owners grant once their records of the joins have been handed over.
-    fn await_once(&self) {
+    // Waits until non-repeatable requests run: key owners grant them only after the records that
+    // move when hosts join have been handed over.
+    fn await_grants(&self) {
         const IN_A_ROW: u32 = 10;
         let caller = self.caller();
         let address = service_address(BOOKING);
         let mut granted = 0;
-        await_until("grants", START, || {
-            let Some(flow) = caller.open(address, CALL) else {
+        await_until("grants", START_LIMIT, || {
+            let Some(flow) = caller.open(address, CALL_TIMEOUT) else {
                 eprintln!("a flow did not open");
                 return false;
             };
-            let outcome = caller.send(flow, &crate::load::once()).wait(ANSWER);
+            let outcome = caller.send(flow, &crate::load::once()).wait(ANSWER_LIMIT);
             let is_answered = matches!(outcome, Some(usher_types::Outcome::Answered(_)));
             if !is_answered {
                 eprintln!("{flow}: {outcome:?}");
@@ -316,7 +320,7 @@
 
     fn launch(&mut self, name: &str, role: &str, port: u16, section: &str) {
         let admin = self.address(port);
-        let centre = CENTRES[usize::from(port / PORTS_EACH) % CENTRES.len()];
+        let centre = CENTRES[usize::from(port / PORTS_PER_PROCESS) % CENTRES.len()];
         let peers: Vec<String> = self.peers.iter().map(ToString::to_string).collect();
         let peers = peers.join(",");
         let statsd = match self.statsd {
@@ -340,5 +344,5 @@
 
 fn host_port(service: &str, number: u16) -> u16 {
     let first = if service == BOOKING { 0 } else { 50 };
-    HOST_PORT + PORTS_EACH * (first + number)
+    HOST_PORT + PORTS_PER_PROCESS * (first + number)
 }
--- a/crates/daemon/tests/processes/isolation.rs
+++ b/crates/daemon/tests/processes/isolation.rs
@@ -9,13 +9,15 @@
 };
 use usher_wire::encode_message;
 
-use crate::deployment::{ANSWER, BOOKING, Deployment, MAPS, await_until, host_name};
+use crate::deployment::{ANSWER_LIMIT, BOOKING, Deployment, MAPS, await_until, host_name};
 use crate::load::{Load, new_key, open, read};
 
 const FLOWS: usize = 40;
-const STRAY: usize = 20;
+// Datagrams sent for each message.
+const COPIES: usize = 20;
 
-fn strays(deployment: &Deployment, reply: std::net::SocketAddrV4) -> Vec<AgentMessage> {
+// An offer and a claim for the booking service.
+fn booking_messages(deployment: &Deployment, reply: std::net::SocketAddrV4) -> Vec<AgentMessage> {
     let (key, method) = (new_key(), "schedule".to_owned());
     let flow = "10.9.0.1:4000>192.0.2.10:7000#7".parse().unwrap();
     let message = usher_types::MessageId::new(1);
@@ -47,7 +49,8 @@
     vec![AgentMessage::Offer(offer), AgentMessage::Claim(claim)]
 }
 
-// Guards against work for a service on a host of another one at a reused address (P2).
+// Guards against an agent that handles messages for another service, whose host had the same
+// address before (P2).
 #[test]
 fn reused_address_serves_no_other_service() {
     let mut deployment = Deployment::start("isolation", 2, 3);
@@ -61,16 +64,16 @@
     deployment.process("booking-desk-2").kill();
     deployment.process("map-office-1").kill();
     deployment.add_agent_at(MAPS, 1, reused);
-    await_until("the agent at the reused address", ANSWER, || {
+    await_until("the agent at the reused address", ANSWER_LIMIT, || {
         let status = deployment.call("map-office-1", "status");
         status.is_some_and(|status| status["flows"].is_u64())
     });
-    // Callers with flows on the dead host send on, and new flows of its buckets go there.
+    // The load keeps using flows of the killed host, and new flows of its buckets go there too.
     let others = deployment.caller();
     let opened = (0..FLOWS)
         .filter_map(|_| {
             let service = crate::deployment::service_address(BOOKING);
-            others.open(service, ANSWER)
+            others.open(service, ANSWER_LIMIT)
         })
         .count();
     assert_eq!(opened, FLOWS, "flows of the remaining hosts");
@@ -78,8 +81,8 @@
     let std::net::SocketAddr::V4(reply) = socket.local_addr().unwrap() else {
         unreachable!("bound to an IPv4 address")
     };
-    for message in strays(&deployment, reply) {
-        for _ in 0..STRAY {
+    for message in booking_messages(&deployment, reply) {
+        for _ in 0..COPIES {
             let datagram = Message::Agent {
                 service: BOOKING.parse().unwrap(),
                 generation: Generation::default(),
@@ -94,14 +97,14 @@
         let status = deployment.call("map-office-1", "status").unwrap();
         status["counters"][format!("{group}.wrong_service")].as_u64()
     };
-    await_until("dropped messages", ANSWER, || {
-        dropped("agent").is_some_and(|count| count >= 2 * STRAY as u64)
+    await_until("dropped messages", ANSWER_LIMIT, || {
+        dropped("agent").is_some_and(|count| count >= 2 * COPIES as u64)
     });
     assert!(dropped("flows").is_some_and(|count| count > 0), "no relay");
     assert_eq!(deployment.backends["map-office-1"].total(), 0);
     let map = Request::new("map", new_key());
     let flow = open(&caller, MAPS, 1)[0];
-    let answer = caller.send(flow, &map).wait(ANSWER);
+    let answer = caller.send(flow, &map).wait(ANSWER_LIMIT);
     assert!(
         matches!(answer, Some(usher_types::Outcome::Answered(_))),
         "{answer:?}"
--- a/crates/daemon/tests/processes/load.rs
+++ b/crates/daemon/tests/processes/load.rs
@@ -9,14 +9,14 @@
 use usher_standins::{Caller, Pending, Request};
 use usher_types::{FlowId, Outcome, Refusal, RequestKey, Span};
 
-use crate::deployment::{ANSWER, await_until, service_address};
+use crate::deployment::{ANSWER_LIMIT, await_until, service_address};
 use crate::starvation;
 
-const PACE: Duration = Duration::from_millis(10);
-/// Deadline of a load's requests; whatever the machine does meanwhile, they are answered.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(10);
+/// Deadline of a load's requests, long enough that a busy machine still answers them.
 pub const DEADLINE: Span = Span::from_secs(15);
-/// Longest time for an answer on a machine that is not starved.
-pub const PROMPT: Duration = Duration::from_secs(5);
+/// Longest time to an answer while the machine is not starved of processor time.
+pub const MAX_LATENCY: Duration = Duration::from_secs(5);
 
 /// A key that no other request has.
 pub fn new_key() -> RequestKey {
@@ -41,17 +41,17 @@
 
 /// Opens flows to a service.
 pub fn open(caller: &Caller, service: &str, count: usize) -> Vec<FlowId> {
-    let open = |_| caller.open(service_address(service), ANSWER).unwrap();
+    let open = |_| caller.open(service_address(service), ANSWER_LIMIT).unwrap();
     (0..count).map(open).collect()
 }
 
 /// Whether an answer belongs to a request.
-pub fn matches(request: &Request, payload: &[u8]) -> bool {
+pub fn is_answer_to(request: &Request, payload: &[u8]) -> bool {
     let value: serde_json::Value = serde_json::from_slice(payload).unwrap();
     value["key"] == request.key.to_string()
 }
 
-/// What became of the requests of a load.
+/// Counts of a load's requests by outcome.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Tally {
     pub sent: u64,
@@ -61,18 +61,18 @@
     pub unknown: u64,
     pub failed: u64,
     pub unanswered: u64,
-    /// Answered after `PROMPT` although the machine was not starved.
+    /// Answers that took longer than `MAX_LATENCY` although the machine was not starved.
     pub late: u64,
 }
 
 impl Tally {
-    /// Whether all requests were answered, and promptly.
+    /// Whether all requests were answered, none of them late.
     pub fn is_complete(&self) -> bool {
         self.answered == self.sent && self.late == 0
     }
 }
 
-/// Requests at a steady pace over flows that stay open, until it is stopped.
+/// Sends requests at a steady rate over open flows until it is stopped.
 #[derive(Debug)]
 pub struct Load {
     stop: mpsc::Sender<()>,
@@ -102,10 +102,10 @@
     pub fn await_answers(&self, count: u64) {
         let answered = || self.tally.lock().unwrap().answered;
         let target = answered() + count;
-        await_until("answers", ANSWER * 2, || answered() >= target);
+        await_until("answers", ANSWER_LIMIT * 2, || answered() >= target);
     }
 
-    /// Sends no more, waits for the outcomes that are due and returns the counts.
+    /// Stops sending, waits for the outstanding outcomes and returns the counts.
     pub fn stop(self) -> Tally {
         drop(self.stop);
         self.thread.join().unwrap();
@@ -114,7 +114,7 @@
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct SentRequest {
     request: Request,
     pending: Pending,
     sent: Instant,
@@ -127,14 +127,14 @@
     stopped: &mpsc::Receiver<()>,
     tally: &Mutex<Tally>,
 ) {
-    let mut waiting: VecDeque<Waiting> = VecDeque::new();
+    let mut waiting: VecDeque<SentRequest> = VecDeque::new();
     for flow in flows.iter().cycle() {
         let request = Request {
             deadline: DEADLINE,
             ..request()
         };
         let pending = caller.send(*flow, &request);
-        waiting.push_back(Waiting {
+        waiting.push_back(SentRequest {
             request,
             pending,
             sent: Instant::now(),
@@ -147,22 +147,22 @@
             }
             None => true,
         });
-        // The pace of the load; the channel closes when it is to stop.
-        if stopped.recv_timeout(PACE) == Err(RecvTimeoutError::Disconnected) {
+        // Waits for the next request's turn; the channel closes when the load is stopped.
+        if stopped.recv_timeout(REQUEST_INTERVAL) == Err(RecvTimeoutError::Disconnected) {
             break;
         }
     }
     for waiting in waiting {
-        let outcome = waiting.pending.wait(ANSWER);
+        let outcome = waiting.pending.wait(ANSWER_LIMIT);
         count(&mut tally.lock().unwrap(), &waiting, outcome);
     }
 }
 
-fn count(tally: &mut Tally, waiting: &Waiting, outcome: Option<Outcome>) {
+fn count(tally: &mut Tally, waiting: &SentRequest, outcome: Option<Outcome>) {
     match outcome {
-        Some(Outcome::Answered(payload)) if matches(&waiting.request, &payload) => {
+        Some(Outcome::Answered(payload)) if is_answer_to(&waiting.request, &payload) => {
             tally.answered += 1;
-            let is_late = waiting.sent.elapsed() > PROMPT;
+            let is_late = waiting.sent.elapsed() > MAX_LATENCY;
             tally.late += u64::from(is_late && !starvation::any_since(waiting.sent));
         }
         Some(Outcome::Answered(_)) => tally.mismatched += 1,
--- a/crates/daemon/tests/processes/main.rs
+++ b/crates/daemon/tests/processes/main.rs
@@ -1,4 +1,5 @@
-//! Scenarios against the real processes: kill, stop and continue, restart, store down, faulty fabric.
+//! Tests with real processes that are killed, paused and restarted, a failing store and a faulty
+//! fabric.
 
 mod answers;
 mod backend_down;
--- a/crates/daemon/tests/processes/process.rs
+++ b/crates/daemon/tests/processes/process.rs
@@ -12,7 +12,7 @@
 pub struct Process(Child);
 
 impl Process {
-    /// Starts the daemon with settings that are written to `folder`.
+    /// Writes settings to `folder`, where the log goes as well, and starts the daemon.
     pub fn start(folder: &Path, name: &str, settings: &str) -> Self {
         let file = folder.join(format!("{name}.ini"));
         fs::write(&file, settings).unwrap();
@@ -50,7 +50,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended before.
+        // The process may have ended already.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
--- a/crates/daemon/tests/processes/settings.rs
+++ b/crates/daemon/tests/processes/settings.rs
@@ -5,17 +5,17 @@
 use serde::Deserialize;
 
 const ROWS: &str = include_str!("data/settings.json");
-const SETTINGS_FAULT: i32 = 2;
+const EXIT_USAGE: i32 = 2;
 
 #[derive(Deserialize)]
 struct Row {
     name: String,
     lines: Vec<String>,
-    // Number, section, key, value and what is allowed, as far as the fault has them.
-    shows: Vec<String>,
+    // Parts of the report: error number, section, key, value and allowed values, if they apply.
+    expected: Vec<String>,
 }
 
-// Guards against a fault in the settings that is accepted, or reported without its place.
+// Guards against wrong settings that are accepted, or reported without their place in the file.
 #[test]
 fn faults_in_settings_are_named() {
     let rows: Vec<Row> = serde_json::from_str(ROWS).unwrap();
@@ -33,17 +33,17 @@
         let text = String::from_utf8(output.stderr).unwrap();
         assert_eq!(
             output.status.code(),
-            Some(SETTINGS_FAULT),
+            Some(EXIT_USAGE),
             "{}: {text}",
             row.name
         );
-        // The report wraps lines, also within words, to the width of a terminal.
+        // The report is wrapped to the width of a terminal, also within words.
         let plain = unwrapped(&text);
         let file = file.display().to_string();
-        for shown in row.shows.iter().chain([&file]) {
+        for part in row.expected.iter().chain([&file]) {
             assert!(
-                plain.contains(&unwrapped(shown)),
-                "{} lacks '{shown}': {text}",
+                plain.contains(&unwrapped(part)),
+                "{} lacks '{part}': {text}",
                 row.name
             );
         }
--- a/crates/daemon/tests/processes/starvation.rs
+++ b/crates/daemon/tests/processes/starvation.rs
@@ -2,47 +2,47 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const TICK: Duration = Duration::from_millis(50);
-// A request passes some 20 threads; at this delay of each it takes longer than `load::PROMPT`.
-const DELAY: Duration = Duration::from_millis(250);
+const WAKE_INTERVAL: Duration = Duration::from_millis(50);
+// A request passes about 20 threads; with this delay in each, it exceeds `load::MAX_LATENCY`.
+const MIN_DELAY: Duration = Duration::from_millis(250);
 
-/// Times at which the machine gave a thread its processor late, seen by one that wakes every 50 ms.
+/// Detects processor starvation by late wake-ups of a thread that wakes every 50 ms.
 #[derive(Debug)]
-struct Starvation {
-    awake: Instant,
-    last: Option<Instant>,
+struct Monitor {
+    last_wake: Instant,
+    delay_end: Option<Instant>,
 }
 
-static STARVATION: OnceLock<Mutex<Starvation>> = OnceLock::new();
+static MONITOR: OnceLock<Mutex<Monitor>> = OnceLock::new();
 
-/// Starts to watch; later calls do nothing.
+/// Starts the thread; later calls do nothing.
 pub fn watch() {
-    STARVATION.get_or_init(|| {
+    MONITOR.get_or_init(|| {
         thread::spawn(|| {
             loop {
-                thread::sleep(TICK);
+                thread::sleep(WAKE_INTERVAL);
                 observe();
             }
         });
-        Mutex::new(Starvation {
-            awake: Instant::now(),
-            last: None,
+        Mutex::new(Monitor {
+            last_wake: Instant::now(),
+            delay_end: None,
         })
     });
 }
 
-/// Whether the machine was starved, or stood still, after a moment.
+/// Whether the machine was starved of processor time, or suspended, after a moment.
 pub fn any_since(moment: Instant) -> bool {
-    observe().is_some_and(|last| last > moment)
+    observe().is_some_and(|delay_end| delay_end > moment)
 }
 
-// Notes that this thread runs; returns the end of the last delay.
+// Records that a thread runs now; returns the end of the last delay.
 fn observe() -> Option<Instant> {
-    let mut starvation = STARVATION.get()?.lock().unwrap();
+    let mut monitor = MONITOR.get()?.lock().unwrap();
     let now = Instant::now();
-    if now - starvation.awake >= TICK + DELAY {
-        starvation.last = Some(now);
+    if now - monitor.last_wake >= WAKE_INTERVAL + MIN_DELAY {
+        monitor.delay_end = Some(now);
     }
-    starvation.awake = now;
-    starvation.last
+    monitor.last_wake = now;
+    monitor.delay_end
 }
--- a/crates/daemon/tests/processes/store_down.rs
+++ b/crates/daemon/tests/processes/store_down.rs
@@ -6,17 +6,17 @@
 use usher_config::Kind;
 use usher_types::{Profile, Span};
 
-use crate::deployment::{ANSWER, BOOKING, Deployment, await_until};
+use crate::deployment::{ANSWER_LIMIT, BOOKING, Deployment, await_until};
 use crate::load::{Load, once, open, read};
 
 const FLOWS: usize = 30;
 const OUTAGE: Duration = Duration::from_secs(20);
 // P8: an accepted change is in force everywhere within this time.
 const IN_FORCE: Duration = Duration::from_secs(4);
-// Time between two readings of every process's version during an outage.
-const READING: Duration = Duration::from_secs(1);
+// Interval at which the versions of all processes are read during an outage.
+const READ_INTERVAL: Duration = Duration::from_secs(1);
 
-// Versions in force, which must never fall.
+// Highest version seen in force in each process; a lower one fails the test.
 #[derive(Default)]
 struct Revisions(IndexMap<String, u64>);
 
@@ -45,8 +45,8 @@
     deployment.await_in_force(IN_FORCE);
 }
 
-// Traffic, a process that joins, and changes around an outage of the given form.
-fn outage(name: &str, faults: &Json) {
+// Runs traffic and adds a balancer during a store outage, then changes the configuration.
+fn run_outage(name: &str, faults: &Json) {
     let mut deployment = Deployment::start(name, 2, 3);
     let caller = Arc::new(deployment.caller());
     let flows = open(&caller, BOOKING, FLOWS);
@@ -54,25 +54,25 @@
     revisions.observe(&deployment);
     let reads = Load::start(&caller, flows.clone(), read);
     let bookings = Load::start(&caller, flows, once);
-    deployment.store_faults(faults);
+    deployment.set_store_faults(faults);
     let down = Instant::now();
     deployment.peers = vec![deployment.admin("booking-desk-1")];
     deployment.add_balancer(3);
-    await_until("an answer of the new balancer", ANSWER, || {
+    await_until("an answer of the new balancer", ANSWER_LIMIT, || {
         deployment.call("entry-3", "status").is_some()
     });
-    deployment.spray_to(&[3]);
+    deployment.distribute_to(&[3]);
     let fresh = open(&caller, BOOKING, FLOWS);
     reads.await_answers(2 * FLOWS as u64);
     let mut next = down;
     await_until("the end of the outage", OUTAGE * 2, || {
         if Instant::now() >= next {
-            next += READING;
+            next += READ_INTERVAL;
             revisions.observe(&deployment);
         }
         down.elapsed() >= OUTAGE
     });
-    deployment.store_works();
+    deployment.clear_store_faults();
     change(&deployment, 7);
     revisions.observe(&deployment);
     let (reads, bookings) = (reads.stop(), bookings.stop());
@@ -82,16 +82,16 @@
     assert_eq!(caller.resets(), 0);
 }
 
-// Guards against traffic or joins that need the store, with connections refused (P8).
+// Guards against traffic or joins that need the store, when it refuses connections (P8).
 #[test]
 fn traffic_outlives_a_store_that_refuses() {
-    outage("store-refuses", &json!({ "down": "refuse" }));
+    run_outage("store-refuses", &json!({ "down": "refuse" }));
 }
 
 // Guards against traffic or joins that wait for a store that does not answer (P8).
 #[test]
 fn traffic_outlives_a_store_that_hangs() {
-    outage("store-hangs", &json!({ "down": "hang" }));
+    run_outage("store-hangs", &json!({ "down": "hang" }));
 }
 
 // Guards against a process that adopts an older configuration from a stale store (P8).
@@ -107,9 +107,9 @@
     for (row, hunt) in rows.iter().zip(10..) {
         change(&deployment, 2 * hunt);
         revisions.observe(&deployment);
-        deployment.store_faults(row);
+        deployment.set_store_faults(row);
         if row["stale"] == true {
-            // What processes already know is newer than anything a stale store shows.
+            // The processes already have a newer configuration than the stale store returns.
             let until = Instant::now() + IN_FORCE;
             await_until("readings", IN_FORCE * 2, || {
                 revisions.observe(&deployment);
@@ -119,7 +119,7 @@
             change(&deployment, 2 * hunt + 1);
         }
         revisions.observe(&deployment);
-        deployment.store_works();
+        deployment.clear_store_faults();
         change(&deployment, 3 * hunt);
         revisions.observe(&deployment);
     }
