--- a/crates/bench/src/experiment/blocking.rs
+++ b/crates/bench/src/experiment/blocking.rs
@@ -2,16 +2,16 @@
 
 use super::subjects::subjects;
 use super::table::{Figures, Row, Table, row};
-use crate::model::{Deployment, Plan, Shape, Tally};
+use crate::model::{Deployment, LoadProfile, RunResult, Workload};
 
-// Fewer than the 2,000 connections of a host keep the run short.
+// A deployed host has 2,000 connections; fewer keep the run short.
 const FLOWS: usize = 500;
 const RAMP: Span = Span::from_secs(20);
-const FROM: Span = Span::from_secs(40);
+const MEASURE_START: Span = Span::from_secs(40);
 const END: Span = Span::from_secs(100);
 const LOAD: f64 = 0.6;
 
-/// Short requests with and without long ones among them; the short ones are the same.
+/// Compares latencies of the same short requests with and without long ones.
 pub(super) fn run(seeds: u64, subject: &str) -> Vec<Table> {
     Deployment::all()
         .iter()
@@ -20,32 +20,32 @@
 }
 
 fn table(site: &Deployment, seeds: u64, subject: &str) -> Table {
-    let shape = Shape {
+    let load_profile = LoadProfile {
         flows: FLOWS,
         ramp: RAMP,
         end: END,
         load: LOAD,
-        rush: None,
+        burst: None,
         churn: false,
         skip_long: false,
     };
-    let window = (Time::ZERO + FROM, Time::ZERO + END);
+    let window = (Time::ZERO + MEASURE_START, Time::ZERO + END);
     let rows: Vec<Row> = subjects(subject)
         .iter()
         .map(|(name, kind)| {
             row(name, seeds, |seed| {
-                let plan = Plan::draw(site, shape, seed);
-                let mixed = kind.run(site, &plan, window, seed);
-                let short = Plan::draw(
+                let workload = Workload::draw(site, load_profile, seed);
+                let mixed = kind.run(site, &workload, window, seed);
+                let short = Workload::draw(
                     site,
-                    Shape {
+                    LoadProfile {
                         skip_long: true,
-                        ..shape
+                        ..load_profile
                     },
                     seed,
                 );
                 let alone = kind.run(site, &short, window, seed);
-                figures(site, (&plan, &mixed), (&short, &alone))
+                figures(site, (&workload, &mixed), (&short, &alone))
             })
         })
         .collect();
@@ -55,7 +55,11 @@
     }
 }
 
-fn figures(site: &Deployment, mixed: (&Plan, &Tally), alone: (&Plan, &Tally)) -> Figures {
+fn figures(
+    site: &Deployment,
+    mixed: (&Workload, &RunResult),
+    alone: (&Workload, &RunResult),
+) -> Figures {
     let (short, missed) = latencies(site, mixed, false);
     let (reference, _) = latencies(site, alone, false);
     let (long, missed_long) = latencies(site, mixed, true);
@@ -79,19 +83,20 @@
     ]
 }
 
+// Latencies of the requests answered in time, and the percentage that were not.
 fn latencies(
     site: &Deployment,
-    (plan, tally): (&Plan, &Tally),
+    (workload, result): (&Workload, &RunResult),
     long: bool,
 ) -> (hdrhistogram::Histogram<u64>, f64) {
     let mut latencies = super::table::histogram();
     let mut total = 0_u32;
-    for (number, arrival) in plan.arrivals.iter().enumerate() {
-        if arrival.at - Time::ZERO < FROM || site.mix[arrival.kind].long != long {
+    for (number, arrival) in workload.arrivals.iter().enumerate() {
+        if arrival.at - Time::ZERO < MEASURE_START || site.mix[arrival.kind].long != long {
             continue;
         }
         total += 1;
-        if let Some(latency) = tally.latency(site, plan, number) {
+        if let Some(latency) = result.latency(site, workload, number) {
             latencies.saturating_record(latency.as_micros());
         }
     }
--- a/crates/bench/src/experiment/churn.rs
+++ b/crates/bench/src/experiment/churn.rs
@@ -1,17 +1,17 @@
 use usher_types::{Span, Time};
 
 use super::table::{Row, Table, row};
-use crate::model::{Deployment, Ending, Plan, Shape, Tally};
-use crate::subject::{Kind, Options};
+use crate::model::{Deployment, Ending, LoadProfile, RunResult, Workload};
+use crate::subject::{Options, SubjectKind};
 
-// Handover is per flow; fewer than 2,000 flows a host keep the run short.
+// Each flow is handed over by itself; fewer than 2,000 flows per host keep the run short.
 const FLOWS: usize = 100;
 const RAMP: Span = Span::from_secs(20);
-const GAP: Span = Span::from_secs(25);
+const RESTART_INTERVAL: Span = Span::from_secs(25);
 const END: Span = Span::from_secs(75);
 const LOAD: f64 = 0.3;
 
-/// Planned restarts of two hosts, one after the other, while flows come and go.
+/// Restarts two hosts, one after the other, while flows open and close.
 pub(super) fn run(seeds: u64) -> Vec<Table> {
     Deployment::all()
         .iter()
@@ -20,27 +20,30 @@
 }
 
 fn table(site: &Deployment, seeds: u64) -> Table {
-    let shape = Shape {
+    let load_profile = LoadProfile {
         flows: FLOWS,
         ramp: RAMP,
         end: END,
         load: LOAD,
-        rush: None,
+        burst: None,
         churn: true,
         skip_long: false,
     };
-    let kinds = [("no restart", None), ("two hosts restart", Some(GAP))];
+    let kinds = [
+        ("no restart", None),
+        ("two hosts restart", Some(RESTART_INTERVAL)),
+    ];
     let rows: Vec<Row> = kinds
         .iter()
-        .map(|(name, restarts)| {
-            let kind = Kind::System(Options {
-                restarts: *restarts,
+        .map(|(name, restart_interval)| {
+            let kind = SubjectKind::System(Options {
+                restart_interval: *restart_interval,
                 ..Options::default()
             });
             row(name, seeds, |seed| {
-                let plan = Plan::draw(site, shape, seed);
+                let workload = Workload::draw(site, load_profile, seed);
                 let window = (Time::ZERO + RAMP, Time::ZERO + END);
-                figures(site, &plan, &kind.run(site, &plan, window, seed))
+                figures(site, &workload, &kind.run(site, &workload, window, seed))
             })
         })
         .collect();
@@ -50,18 +53,22 @@
     }
 }
 
-fn figures(site: &Deployment, plan: &Plan, tally: &Tally) -> Vec<(&'static str, f64)> {
-    let count = |part: fn(&Option<(Time, Ending)>) -> bool| {
-        tally.endings.iter().filter(|ending| part(ending)).count() as f64
+fn figures(site: &Deployment, workload: &Workload, result: &RunResult) -> Vec<(&'static str, f64)> {
+    let count = |predicate: fn(&Option<(Time, Ending)>) -> bool| {
+        result
+            .endings
+            .iter()
+            .filter(|ending| predicate(ending))
+            .count() as f64
     };
     let mut latencies = super::table::histogram();
-    for number in 0..plan.arrivals.len() {
-        if let Some(latency) = tally.latency(site, plan, number) {
+    for number in 0..workload.arrivals.len() {
+        if let Some(latency) = result.latency(site, workload, number) {
             latencies.saturating_record(latency.as_micros());
         }
     }
     vec![
-        ("requests", plan.arrivals.len() as f64),
+        ("requests", workload.arrivals.len() as f64),
         (
             "not run",
             count(|e| matches!(e, Some((_, Ending::NotRun { .. })))),
@@ -72,6 +79,6 @@
             "p99 ms, all requests",
             latencies.value_at_quantile(0.99) as f64 / 1_000.0,
         ),
-        ("broken flows", tally.broken as f64),
+        ("broken flows", result.broken as f64),
     ]
 }
--- a/crates/bench/src/experiment/crest.rs
+++ b/crates/bench/src/experiment/crest.rs
@@ -2,19 +2,21 @@
 
 use super::subjects::subjects;
 use super::table::{Figures, Row, Table, row};
-use crate::model::{Arrival, Deployment, Ending, Plan, Shape, Tally};
-use crate::subject::Kind;
+use crate::model::{Arrival, Deployment, Ending, LoadProfile, RunResult, Workload};
+use crate::subject::SubjectKind;
 
-// Fewer than the 2,000 connections of a host keep the run short.
+// A deployed host has 2,000 connections; fewer keep the run short.
 const FLOWS: usize = 500;
 const RAMP: Span = Span::from_secs(20);
-const START: Span = Span::from_secs(40);
-const STOP: Span = Span::from_secs(44);
+const BURST_START: Span = Span::from_secs(40);
+const BURST_END: Span = Span::from_secs(44);
 const END: Span = Span::from_secs(52);
 const LOAD: f64 = 0.6;
-const RUSH: f64 = 4.0;
+const BURST_LOAD: f64 = 4.0;
 
-/// A rush of four times the capacity for four seconds; callers do not repeat requests.
+/// Sends a burst of four times the capacity for four seconds.
+///
+/// Callers do not repeat requests.
 pub(super) fn run(seeds: u64, subject: &str) -> Vec<Table> {
     Deployment::all()
         .iter()
@@ -23,50 +25,50 @@
 }
 
 fn table(site: &Deployment, seeds: u64, subject: &str) -> Table {
-    let shape = Shape {
+    let load_profile = LoadProfile {
         flows: FLOWS,
         ramp: RAMP,
         end: END,
         load: LOAD,
-        rush: Some((START, STOP, RUSH)),
+        burst: Some((BURST_START, BURST_END, BURST_LOAD)),
         churn: false,
         skip_long: false,
     };
-    let window = (Time::ZERO + START, Time::ZERO + STOP);
+    let window = (Time::ZERO + BURST_START, Time::ZERO + BURST_END);
     let rows: Vec<Row> = subjects(subject)
         .iter()
         .map(|(name, kind)| {
             row(name, seeds, |seed| {
-                let plan = Plan::draw(site, shape, seed);
-                let tally = kind.run(site, &plan, window, seed);
-                let oracle = Kind::Oracle.run(site, &plan, window, seed);
-                figures(site, &plan, &tally, goodput(site, &plan, &oracle))
+                let workload = Workload::draw(site, load_profile, seed);
+                let result = kind.run(site, &workload, window, seed);
+                let oracle = SubjectKind::Oracle.run(site, &workload, window, seed);
+                figures(site, &workload, &result, goodput(site, &workload, &oracle))
             })
         })
         .collect();
     Table {
-        title: format!("crest, {}, {RUSH} times capacity for 4 s", site.name),
+        title: format!("crest, {}, {BURST_LOAD} times capacity for 4 s", site.name),
         rows,
     }
 }
 
-/// Work answered in time during the rush as a share of the capacity.
-fn goodput(site: &Deployment, plan: &Plan, tally: &Tally) -> f64 {
-    let (start, stop) = (Time::ZERO + START, Time::ZERO + STOP);
-    let useful = |number: &usize| {
-        let at = tally.endings[*number].map(|(at, _)| at);
+/// Work answered in time during the burst, as a share of the capacity.
+fn goodput(site: &Deployment, workload: &Workload, result: &RunResult) -> f64 {
+    let (start, stop) = (Time::ZERO + BURST_START, Time::ZERO + BURST_END);
+    let answered_during = |number: &usize| {
+        let at = result.endings[*number].map(|(at, _)| at);
         at.is_some_and(|at| at >= start && at < stop)
-            && tally.latency(site, plan, *number).is_some()
+            && result.latency(site, workload, *number).is_some()
     };
-    let work: f64 = (0..plan.arrivals.len())
-        .filter(useful)
-        .map(|number| plan.arrivals[number].work.as_secs_f64())
+    let work: f64 = (0..workload.arrivals.len())
+        .filter(answered_during)
+        .map(|number| workload.arrivals[number].work.as_secs_f64())
         .sum();
     work / (site.capacity() * (stop - start).as_secs_f64())
 }
 
-fn figures(site: &Deployment, plan: &Plan, tally: &Tally, oracle: f64) -> Figures {
-    let goodput = goodput(site, plan, tally);
+fn figures(site: &Deployment, workload: &Workload, result: &RunResult, oracle: f64) -> Figures {
+    let goodput = goodput(site, workload, result);
     let mut figures = vec![
         ("goodput/capacity", goodput),
         ("goodput/oracle", goodput / oracle),
@@ -76,69 +78,76 @@
         ("once p50 ms", "once p99 ms", "once answered"),
     ];
     for (kind, (p50, p99, answered)) in names.into_iter().enumerate() {
-        let (latencies, total) = rushed(site, plan, tally, kind);
+        let (latencies, total) = burst_latencies(site, workload, result, kind);
         figures.push((p50, latencies.value_at_quantile(0.5) as f64 / 1_000.0));
         figures.push((p99, latencies.value_at_quantile(0.99) as f64 / 1_000.0));
         figures.push((answered, latencies.len() as f64 / total as f64));
     }
-    let wrongly = |ending: &&Option<(Time, Ending)>| {
+    let refused_idle = |ending: &&Option<(Time, Ending)>| {
         matches!(ending, Some((_, Ending::NotRun { idle: true })))
     };
     figures.push((
         "refused while a slot was idle",
-        tally.endings.iter().filter(wrongly).count() as f64,
+        result.endings.iter().filter(refused_idle).count() as f64,
     ));
-    figures.push(("recovery ms", recovery(site, plan, tally)));
-    figures.push(("late work/capacity", late(site, plan, tally)));
-    figures.push(("broken flows", tally.broken as f64));
+    figures.push(("recovery ms", recovery(site, workload, result)));
+    figures.push(("late work/capacity", late(site, workload, result)));
+    figures.push(("broken flows", result.broken as f64));
     figures
 }
 
-/// Latencies of the requests of one kind that arrived in the rush and were answered in time.
-fn rushed(
+/// Latencies of one kind of requests in the burst, and their number.
+///
+/// Only requests that were answered in time have a latency.
+fn burst_latencies(
     site: &Deployment,
-    plan: &Plan,
-    tally: &Tally,
+    workload: &Workload,
+    result: &RunResult,
     kind: usize,
 ) -> (hdrhistogram::Histogram<u64>, usize) {
     let mut latencies = super::table::histogram();
     let mut total = 0;
-    for (number, arrival) in plan.arrivals.iter().enumerate() {
+    for (number, arrival) in workload.arrivals.iter().enumerate() {
         let since = arrival.at - Time::ZERO;
-        if arrival.kind != kind || since < START || since >= STOP {
+        if arrival.kind != kind || since < BURST_START || since >= BURST_END {
             continue;
         }
         total += 1;
-        if let Some(latency) = tally.latency(site, plan, number) {
+        if let Some(latency) = result.latency(site, workload, number) {
             latencies.saturating_record(latency.as_micros());
         }
     }
     (latencies, total)
 }
 
-/// Time from the end of the rush to the last request that arrived after it and was not served.
-fn recovery(site: &Deployment, plan: &Plan, tally: &Tally) -> f64 {
-    let stop = Time::ZERO + STOP;
-    let missed = plan
+/// Time from the end of the burst to the last missed request.
+///
+/// It is the arrival of the last request after the burst that was not answered in time.
+fn recovery(site: &Deployment, workload: &Workload, result: &RunResult) -> f64 {
+    let stop = Time::ZERO + BURST_END;
+    let missed = workload
         .arrivals
         .iter()
         .enumerate()
         .filter(|(number, arrival)| {
-            arrival.at >= stop && tally.latency(site, plan, *number).is_none()
+            arrival.at >= stop && result.latency(site, workload, *number).is_none()
         });
     missed
         .map(|(_, arrival)| (arrival.at - stop).as_millis() as f64)
         .fold(0.0, f64::max)
 }
 
-/// Work answered too late that arrived in the rush, as a share of the capacity.
-fn late(site: &Deployment, plan: &Plan, tally: &Tally) -> f64 {
+/// Work from the burst that was answered late, as a share of the capacity.
+fn late(site: &Deployment, workload: &Workload, result: &RunResult) -> f64 {
     let is_late = |(number, arrival): &(usize, &Arrival)| {
         let since = arrival.at - Time::ZERO;
-        let answered = matches!(tally.endings[*number], Some((_, Ending::Answered)));
-        since >= START && since < STOP && answered && tally.latency(site, plan, *number).is_none()
+        let answered = matches!(result.endings[*number], Some((_, Ending::Answered)));
+        since >= BURST_START
+            && since < BURST_END
+            && answered
+            && result.latency(site, workload, *number).is_none()
     };
-    let late = plan.arrivals.iter().enumerate().filter(is_late);
+    let late = workload.arrivals.iter().enumerate().filter(is_late);
     let work: f64 = late.map(|(_, arrival)| arrival.work.as_secs_f64()).sum();
-    work / (site.capacity() * (STOP - START).as_secs_f64())
+    work / (site.capacity() * (BURST_END - BURST_START).as_secs_f64())
 }
--- a/crates/bench/src/experiment/imbalance.rs
+++ b/crates/bench/src/experiment/imbalance.rs
@@ -2,14 +2,16 @@
 
 use super::subjects::subjects;
 use super::table::{Figures, Row, Table, row};
-use crate::model::{Deployment, Ending, Plan, Shape, Tally};
+use crate::model::{Deployment, Ending, LoadProfile, RunResult, Workload};
 
 const FLOWS: usize = 2_000;
 const RAMP: Span = Span::from_secs(60);
 const END: Span = Span::from_secs(120);
 const LOAD: f64 = 0.6;
 
-/// Steady load; half of the flows are long-lived, the others last 20 s on average.
+/// Measures the load of each host under a steady load.
+///
+/// Half of the flows are long-lived, the others last 20 s on average.
 pub(super) fn run(seeds: u64, subject: &str) -> Vec<Table> {
     Deployment::all()
         .iter()
@@ -18,12 +20,12 @@
 }
 
 fn table(site: &Deployment, seeds: u64, subject: &str) -> Table {
-    let shape = Shape {
+    let load_profile = LoadProfile {
         flows: FLOWS,
         ramp: RAMP,
         end: END,
         load: LOAD,
-        rush: None,
+        burst: None,
         churn: true,
         skip_long: false,
     };
@@ -32,8 +34,8 @@
         .iter()
         .map(|(name, kind)| {
             row(name, seeds, |seed| {
-                let plan = Plan::draw(site, shape, seed);
-                figures(site, &plan, &kind.run(site, &plan, window, seed))
+                let workload = Workload::draw(site, load_profile, seed);
+                figures(site, &workload, &kind.run(site, &workload, window, seed))
             })
         })
         .collect();
@@ -43,19 +45,19 @@
     }
 }
 
-fn figures(site: &Deployment, plan: &Plan, tally: &Tally) -> Figures {
-    let loads = tally.loads();
+fn figures(site: &Deployment, workload: &Workload, result: &RunResult) -> Figures {
+    let loads = result.loads();
     let mean = loads.iter().sum::<f64>() / loads.len() as f64;
     let variance = loads.iter().map(|l| (l - mean).powi(2)).sum::<f64>() / loads.len() as f64;
-    let missed = (0..plan.arrivals.len())
-        .filter(|number| tally.latency(site, plan, *number).is_none())
+    let missed = (0..workload.arrivals.len())
+        .filter(|number| result.latency(site, workload, *number).is_none())
         .count();
-    let unknown = tally
+    let unknown = result
         .endings
         .iter()
         .filter(|ending| matches!(ending, Some((_, Ending::Failed))));
     let unknown = unknown.count();
-    let control = tally.control.iter().copied().max().unwrap_or_default();
+    let control = result.control.iter().copied().max().unwrap_or_default();
     vec![
         (
             "max load/strength",
@@ -64,16 +66,16 @@
         ("coefficient of variation", variance.sqrt() / mean),
         (
             "missed, % of requests",
-            100.0 * missed as f64 / plan.arrivals.len() as f64,
+            100.0 * missed as f64 / workload.arrivals.len() as f64,
         ),
         (
             "unknown, % of requests",
-            100.0 * unknown as f64 / plan.arrivals.len() as f64,
+            100.0 * unknown as f64 / workload.arrivals.len() as f64,
         ),
-        ("broken flows", tally.broken as f64),
+        ("broken flows", result.broken as f64),
         (
             "control B/s per agent",
-            control as f64 / tally.length.as_secs_f64().max(1.0),
+            control as f64 / result.duration.as_secs_f64().max(1.0),
         ),
     ]
 }
--- a/crates/bench/src/experiment/mod.rs
+++ b/crates/bench/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! What is run and which figures are taken.
+//! The experiments and the figures that each of them reports.
 
 mod blocking;
 mod churn;
@@ -15,23 +15,25 @@
 /// A group of measurements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, FromArgValue)]
 pub enum Experiment {
-    /// Load divided by strength across hosts under a steady load.
+    /// Distribution of a steady load over hosts of different strength.
     Imbalance,
-    /// Service during a rush of several times the capacity.
+    /// Goodput and latency during a burst of several times the capacity.
     Crest,
-    /// Short requests behind long ones.
+    /// Delay of short requests by long ones.
     Blocking,
     /// Calls per request while backend servers fail.
     Retries,
     /// Flows and requests during planned restarts.
     Churn,
-    /// All of them.
+    /// All experiments.
     All,
 }
 
 impl Experiment {
-    /// Runs the experiment with the seeds 1 to `seeds` on the subjects whose name contains
-    /// `subject`; `retries` and `churn` have subjects of their own and run all of them.
+    /// Runs the experiment with the seeds 1 to `seeds`.
+    ///
+    /// It covers the subjects whose name contains `subject`; `retries` and `churn` have subjects of
+    /// their own and run all of them.
     pub fn run(self, seeds: u64, subject: &str) -> Vec<Table> {
         match self {
             Self::Imbalance => imbalance::run(seeds, subject),
--- a/crates/bench/src/experiment/retries.rs
+++ b/crates/bench/src/experiment/retries.rs
@@ -3,8 +3,8 @@
 use usher_types::{Share, Span, Time};
 
 use super::table::{Figures, Row, Table, row};
-use crate::model::{Deployment, Ending, Plan, Shape, Tally};
-use crate::subject::{Kind, Options};
+use crate::model::{Deployment, Ending, LoadProfile, RunResult, Workload};
+use crate::subject::{Options, SubjectKind};
 
 const FLOWS: usize = 500;
 const RAMP: Span = Span::from_secs(10);
@@ -14,23 +14,24 @@
 const LAYERS: u32 = 3;
 const NESTED_REQUESTS: u32 = 100_000;
 
-/// Calls of backend servers per request while one or all of them lose each run.
+/// Counts calls per request while one or all backend servers fail each call.
 pub(super) fn run(seeds: u64) -> Vec<Table> {
     let mut tables = Vec::new();
     for site in Deployment::all() {
         let site = site.without_long();
-        for down in [1, site.speeds.len()] {
-            tables.push(table(&site, down, seeds));
+        for failed_hosts in [1, site.speeds.len()] {
+            tables.push(table(&site, failed_hosts, seeds));
         }
     }
     tables
 }
 
-fn table(site: &Deployment, down: usize, seeds: u64) -> Table {
+fn table(site: &Deployment, failed_hosts: usize, seeds: u64) -> Table {
     let unlimited = Share::new(1.0).unwrap_or_default();
     let limited = Options::default().retries;
-    // Transmissions by the caller, shared attempt budget, share of successes for retries.
-    let kinds = [
+    // For each: transmissions by the caller and whether they share one attempt budget, and the
+    // share of successes that agents spend on retries.
+    let variants = [
         ("system", (1, true), limited),
         ("system, callers repeat", (ATTEMPTS, true), limited),
         (
@@ -49,24 +50,24 @@
             unlimited,
         ),
     ];
-    let mut rows: Vec<Row> = kinds
+    let mut rows: Vec<Row> = variants
         .into_iter()
-        .map(|(name, caller, retries)| {
+        .map(|(name, caller_policy, retries)| {
             let options = Options {
-                down,
-                caller,
+                failed_hosts,
+                caller_policy,
                 retries,
                 ..Options::default()
             };
             row(name, seeds, |seed| system(site, &options, seed))
         })
         .collect();
-    let share = down as f64 / site.speeds.len() as f64;
+    let share = failed_hosts as f64 / site.speeds.len() as f64;
     rows.push(row("nested retries, 3 layers of 3", seeds, |seed| {
-        nested(share, seed)
+        nested_retries(share, seed)
     }));
     let title = format!(
-        "retries, {}, {down} of {} down",
+        "retries, {}, {failed_hosts} of {} down",
         site.name,
         site.speeds.len()
     );
@@ -74,38 +75,40 @@
 }
 
 fn system(site: &Deployment, options: &Options, seed: u64) -> Figures {
-    let shape = Shape {
+    let load_profile = LoadProfile {
         flows: FLOWS,
         ramp: RAMP,
         end: END,
         load: LOAD,
-        rush: None,
+        burst: None,
         churn: false,
         skip_long: false,
     };
-    let plan = Plan::draw(site, shape, seed);
+    let workload = Workload::draw(site, load_profile, seed);
     let window = (Time::ZERO + RAMP, Time::ZERO + END);
-    let tally: Tally = Kind::System(options.clone()).run(site, &plan, window, seed);
-    let total = plan.arrivals.len() as f64;
-    let answered = tally
+    let result: RunResult = SubjectKind::System(options.clone()).run(site, &workload, window, seed);
+    let total = workload.arrivals.len() as f64;
+    let answered = result
         .endings
         .iter()
         .filter(|ending| matches!(ending, Some((_, Ending::Answered))))
         .count();
     vec![
-        ("calls per request", tally.runs as f64 / total),
+        ("calls per request", result.runs as f64 / total),
         ("answered", answered as f64 / total),
-        ("broken flows", tally.broken as f64),
+        ("broken flows", result.broken as f64),
     ]
 }
 
-/// Each layer repeats a failed call of the layer below; a call goes to a random host.
-fn nested(down: f64, seed: u64) -> Figures {
+/// Retries without a shared budget: each layer repeats failed calls of the layer below.
+///
+/// A call goes to a random host, which fails with `failure_rate`.
+fn nested_retries(failure_rate: f64, seed: u64) -> Figures {
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut calls = 0;
     let mut answered = 0;
     for _ in 0..NESTED_REQUESTS {
-        answered += u32::from(layer(&mut rng, LAYERS, down, &mut calls));
+        answered += u32::from(call_layer(&mut rng, LAYERS, failure_rate, &mut calls));
     }
     let total = f64::from(NESTED_REQUESTS);
     vec![
@@ -115,10 +118,11 @@
     ]
 }
 
-fn layer(rng: &mut Pcg64, layers: u32, down: f64, calls: &mut u64) -> bool {
+// Calls the layer below up to three times; layer 0 is the backend server.
+fn call_layer(rng: &mut Pcg64, layers: u32, failure_rate: f64, calls: &mut u64) -> bool {
     if layers == 0 {
         *calls += 1;
-        return !rng.random_bool(down);
+        return !rng.random_bool(failure_rate);
     }
-    (0..ATTEMPTS).any(|_| layer(rng, layers - 1, down, calls))
+    (0..ATTEMPTS).any(|_| call_layer(rng, layers - 1, failure_rate, calls))
 }
--- a/crates/bench/src/experiment/subjects.rs
+++ b/crates/bench/src/experiment/subjects.rs
@@ -1,31 +1,36 @@
 use usher_admission::{Policy, QueueOrder};
 use usher_types::Span;
 
-use crate::subject::{Choice, Kind, Options};
+use crate::subject::{Balancing, Options, SubjectKind};
 
-// Places per host of the bounded queue.
-const PLACES: usize = 50;
+// Length of the bounded queue of each host.
+const QUEUE_SIZE: usize = 50;
 
-fn system(change: impl FnOnce(&mut Options)) -> Kind {
+// The system with some options changed.
+fn system(change: impl FnOnce(&mut Options)) -> SubjectKind {
     let mut options = Options::default();
     change(&mut options);
-    Kind::System(options)
+    SubjectKind::System(options)
 }
 
-fn policy(change: impl FnOnce(&mut Policy)) -> Kind {
+// The system with some parts of the scheduling policy changed.
+fn policy(change: impl FnOnce(&mut Policy)) -> SubjectKind {
     system(|options| change(&mut options.policy))
 }
 
-/// Names of the rows and what they measure; only names that contain `part`.
-pub(super) fn subjects(part: &str) -> Vec<(&'static str, Kind)> {
-    let unlimited = |choice| Kind::Baseline(choice, None);
+/// Subjects with the names of their rows; only those whose name contains `filter`.
+pub(super) fn subjects(filter: &str) -> Vec<(&'static str, SubjectKind)> {
+    let unlimited = |balancing| SubjectKind::Baseline(balancing, None);
     let mut all = vec![
         ("system", system(|_| {})),
-        ("system, measured weights", system(|o| o.weights = true)),
+        (
+            "system, measured weights",
+            system(|o| o.measured_weights = true),
+        ),
         (
             "system, measured weights, no offers",
             system(|o| {
-                o.weights = true;
+                o.measured_weights = true;
                 o.policy.offers = false;
             }),
         ),
@@ -43,20 +48,23 @@
         ("system, no classes", policy(|p| p.classes = false)),
         (
             "system, fifo 50",
-            policy(|p| p.order = QueueOrder::Fifo { length: PLACES }),
+            policy(|p| p.order = QueueOrder::Fifo { length: QUEUE_SIZE }),
         ),
         ("system, no refusal", policy(|p| p.refusal = false)),
         ("system, no priority", policy(|p| p.shedding = false)),
         ("system, horizon 100", policy(|p| p.horizon = 100)),
         ("system, horizon 75", policy(|p| p.horizon = 75)),
         ("system, horizon 25", policy(|p| p.horizon = 25)),
-        ("hash only", unlimited(Choice::Hash)),
-        ("round robin", unlimited(Choice::RoundRobin)),
-        ("least connections", unlimited(Choice::LeastLoaded)),
-        ("two choices", unlimited(Choice::TwoChoices)),
-        ("hash, fifo 50", Kind::Baseline(Choice::Hash, Some(PLACES))),
-        ("oracle", Kind::Oracle),
+        ("hash only", unlimited(Balancing::Hash)),
+        ("round robin", unlimited(Balancing::RoundRobin)),
+        ("least connections", unlimited(Balancing::LeastLoaded)),
+        ("two choices", unlimited(Balancing::TwoChoices)),
+        (
+            "hash, fifo 50",
+            SubjectKind::Baseline(Balancing::Hash, Some(QUEUE_SIZE)),
+        ),
+        ("oracle", SubjectKind::Oracle),
     ];
-    all.retain(|(name, _)| name.contains(part));
+    all.retain(|(name, _)| name.contains(filter));
     all
 }
--- a/crates/bench/src/experiment/table.rs
+++ b/crates/bench/src/experiment/table.rs
@@ -4,30 +4,31 @@
 use indexmap::IndexMap;
 use serde::Serialize;
 
-// Longer than each deadline.
-const LONGEST_MICROS: u64 = 60_000_000;
+// Longer than any deadline.
+const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// Figures of one subject by column, one value for each seed.
+/// Figures of one subject.
 #[derive(Debug, Clone, Serialize)]
 pub struct Row {
-    /// The subject.
+    /// Name of the subject.
     pub name: String,
-    /// Values by column.
+    /// Values by column, one for each seed.
     pub figures: IndexMap<&'static str, Vec<f64>>,
 }
 
 /// Results of an experiment on one site.
 #[derive(Debug, Clone, Serialize)]
 pub struct Table {
-    /// Experiment, site and setting.
+    /// Experiment, site and parameters.
     pub title: String,
-    /// Subjects.
+    /// One row for each subject.
     pub rows: Vec<Row>,
 }
 
+/// Columns and their values in a run with one seed.
 pub(super) type Figures = Vec<(&'static str, f64)>;
 
-/// Runs the seeds of one row on threads of their own.
+/// Runs all seeds of one row, each on a thread of its own.
 pub(super) fn row(name: &str, seeds: u64, run: impl Fn(u64) -> Figures + Sync) -> Row {
     let results: Vec<Figures> = thread::scope(|scope| {
         let start = |seed| {
@@ -64,7 +65,7 @@
         for row in &self.rows {
             write!(f, "| {} |", row.name)?;
             for values in row.figures.values() {
-                write!(f, " {} |", spread(values))?;
+                write!(f, " {} |", format_range(values))?;
             }
             writeln!(f)?;
         }
@@ -72,15 +73,15 @@
     }
 }
 
-// Median, and the smallest and largest value when they differ.
-fn spread(values: &[f64]) -> String {
+// The median, followed by the smallest and the largest value if they differ.
+fn format_range(values: &[f64]) -> String {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
     let (Some(low), Some(high)) = (sorted.first(), sorted.last()) else {
         return String::new();
     };
-    let median = number(sorted[sorted.len() / 2]);
-    let (low, high) = (number(*low), number(*high));
+    let median = format_number(sorted[sorted.len() / 2]);
+    let (low, high) = (format_number(*low), format_number(*high));
     if low == high {
         median
     } else {
@@ -88,8 +89,8 @@
     }
 }
 
-fn number(value: f64) -> String {
-    // An empty sum is a negative zero.
+fn format_number(value: f64) -> String {
+    // The sum of no values is -0.0; adding 0.0 removes the sign.
     let value = value + 0.0;
     if value.fract() == 0.0 || value.abs() >= 100.0 {
         format!("{value:.0}")
@@ -100,8 +101,8 @@
     }
 }
 
-/// Latencies in microseconds, to three digits.
+/// Creates a histogram of latencies in microseconds with three significant digits.
 pub(super) fn histogram() -> hdrhistogram::Histogram<u64> {
-    hdrhistogram::Histogram::new_with_bounds(1, LONGEST_MICROS, 3)
+    hdrhistogram::Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)
         .unwrap_or_else(|_| unreachable!("the bounds are valid"))
 }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,7 +1,8 @@
-//! Measures the decision crates against small host models in virtual time.
+//! Compares the system with simpler balancers and an ideal scheduler in simulated time.
 //!
-//! A run is a function of its seed: the workload is drawn first and is the same for the system, the
-//! baselines and the oracle.
+//! The decision crates run unchanged against simulated callers, hosts and network. The seed alone
+//! determines a run: the workload is generated first and is the same for the system, the baselines
+//! and the oracle.
 
 pub mod experiment;
 pub mod model;
--- a/crates/bench/src/model/deployment.rs
+++ b/crates/bench/src/model/deployment.rs
@@ -2,81 +2,81 @@
 
 use crate::model::Work;
 
-/// One service of a current deployment.
+/// One service of an existing deployment: its hosts, latencies and request mix.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Deployment {
-    /// Name of the site.
+    /// Name of the site that runs it.
     pub name: &'static str,
-    /// Speed of each host relative to the fastest generation's nominal speed.
+    /// Speed of each host relative to the nominal speed of the fastest hardware generation.
     pub speeds: Vec<f64>,
-    /// Slots per host.
+    /// Requests that a host runs at the same time.
     pub slots: u16,
-    /// Balancers.
+    /// Number of balancers.
     pub balancers: usize,
     /// One-way latency between callers and data centres.
-    pub edge: Span,
+    pub caller_latency: Span,
     /// One-way latency between data centres.
-    pub inner: Span,
-    /// Mix of requests; the shares of short work sum to 1.
+    pub centre_latency: Span,
+    /// Kinds of requests; the shares of the short ones sum to 1.
     pub mix: Vec<Work>,
-    /// Share of requests that run `straggle` times longer.
-    pub stragglers: f64,
-    /// Factor of a straggler.
-    pub straggle: f64,
+    /// Share of short requests that run `straggler_factor` times longer.
+    pub straggler_share: f64,
+    /// Factor by which a straggler's running time grows.
+    pub straggler_factor: f64,
 }
 
 impl Deployment {
-    /// Both deployments.
+    /// Returns both deployments.
     pub fn all() -> [Self; 2] {
         [Self::riga(), Self::bengal()]
     }
 
-    /// Riga's booking desk: 7 hosts of slightly different speed with 3 slots.
+    /// Riga's booking desk: 7 hosts of slightly different speeds, with 3 slots each.
     pub fn riga() -> Self {
         Self {
             name: "riga",
             speeds: vec![1.0, 1.1, 0.9, 1.0, 1.2, 0.8, 1.0],
             slots: 3,
             balancers: 3,
-            edge: Span::from_millis(3),
-            inner: Span::from_millis(1),
+            caller_latency: Span::from_millis(3),
+            centre_latency: Span::from_millis(1),
             mix: vec![
                 Work::read("schedule", 8, 0.7),
                 Work::once("book", 12, 0.3),
                 Work::long("map", 400, 0.01),
             ],
-            stragglers: 0.001,
-            straggle: 10.0,
+            straggler_share: 0.001,
+            straggler_factor: 10.0,
         }
     }
 
-    /// Bengal's name desk: 7 hosts of two hardware generations with 4 slots.
+    /// Bengal's name desk: 7 hosts of two hardware generations, with 4 slots each.
     pub fn bengal() -> Self {
         Self {
             name: "bengal",
             speeds: vec![1.0, 0.35, 1.0, 0.35, 1.0, 0.35, 1.0],
             slots: 4,
             balancers: 3,
-            edge: Span::from_millis(1),
-            inner: Span::from_millis(1),
+            caller_latency: Span::from_millis(1),
+            centre_latency: Span::from_millis(1),
             mix: vec![
                 Work::read("record", 6, 0.8),
                 Work::once("claim", 10, 0.2),
                 Work::long("pedigree", 600, 0.006),
             ],
-            stragglers: 0.002,
-            straggle: 30.0,
+            straggler_share: 0.002,
+            straggler_factor: 30.0,
         }
     }
 
-    /// Slot-seconds of work at speed 1 that all hosts do in a second.
+    /// Work that all hosts together do in a second, in slot-seconds at speed 1.
     pub fn capacity(&self) -> f64 {
         self.speeds.iter().sum::<f64>() * f64::from(self.slots)
     }
 
-    /// Requests per second of the mix that fill the hosts to the share `load`.
+    /// Requests per second of the mix that use the share `load` of the capacity.
     pub fn rate(&self, load: f64) -> f64 {
-        let straggling = 1.0 + self.stragglers * (self.straggle - 1.0);
+        let straggling = 1.0 + self.straggler_share * (self.straggler_factor - 1.0);
         let total: f64 = self.mix.iter().map(|work| work.share).sum();
         let mean: f64 = self
             .mix
@@ -86,7 +86,7 @@
         load * self.capacity() * total / (mean * straggling)
     }
 
-    /// The same service when callers send no long work.
+    /// Returns the same service without the long requests.
     #[must_use]
     pub fn without_long(mut self) -> Self {
         self.mix.retain(|work| !work.long);
--- a/crates/bench/src/model/calendar.rs
+++ b/crates/bench/src/model/event_queue.rs
@@ -3,15 +3,17 @@
 
 use usher_types::Time;
 
-/// Events in the order of virtual time; events of one time keep the order of their insertion.
+/// Events in order of simulated time.
+///
+/// Events with the same time keep their insertion order.
 #[derive(Debug)]
-pub struct Calendar<E> {
+pub struct EventQueue<E> {
     order: BinaryHeap<Reverse<(Time, u64)>>,
     events: BTreeMap<u64, E>,
     next: u64,
 }
 
-impl<E> Default for Calendar<E> {
+impl<E> Default for EventQueue<E> {
     fn default() -> Self {
         Self {
             order: BinaryHeap::new(),
@@ -21,16 +23,16 @@
     }
 }
 
-impl<E> Calendar<E> {
-    /// Plans an event.
+impl<E> EventQueue<E> {
+    /// Schedules an event.
     ///
     /// ```
-    /// use usher_bench::model::Calendar;
+    /// use usher_bench::model::EventQueue;
     /// use usher_types::Time;
-    /// let mut calendar = Calendar::default();
-    /// calendar.add(Time::from_micros(2), 'b');
-    /// calendar.add(Time::from_micros(1), 'a');
-    /// assert_eq!(calendar.pop(), Some((Time::from_micros(1), 'a')));
+    /// let mut queue = EventQueue::default();
+    /// queue.add(Time::from_micros(2), 'b');
+    /// queue.add(Time::from_micros(1), 'a');
+    /// assert_eq!(queue.pop(), Some((Time::from_micros(1), 'a')));
     /// ```
     pub fn add(&mut self, at: Time, event: E) {
         self.order.push(Reverse((at, self.next)));
@@ -38,10 +40,10 @@
         self.next += 1;
     }
 
-    /// Takes the earliest event.
+    /// Removes the earliest event and returns it with its time.
     ///
     /// ```
-    /// assert_eq!(usher_bench::model::Calendar::<u8>::default().pop(), None);
+    /// assert_eq!(usher_bench::model::EventQueue::<u8>::default().pop(), None);
     /// ```
     pub fn pop(&mut self) -> Option<(Time, E)> {
         let Reverse((at, number)) = self.order.pop()?;
--- a/crates/bench/src/model/host.rs
+++ b/crates/bench/src/model/host.rs
@@ -1,47 +1,51 @@
 use usher_types::{Span, Time};
 
-/// Slots and busy time of a backend server.
+/// A simulated backend server: its speed, slots and busy time.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Host {
-    /// Work done per second by one slot.
+    /// Work that one slot does per second, relative to speed 1.
     pub speed: f64,
-    /// Runs at the same time.
+    /// Requests that can run at the same time.
     pub slots: usize,
-    /// Runs in progress.
+    /// Requests that are running.
     pub busy: usize,
-    /// Runs take longer by this factor until `warm`.
-    pub cold: f64,
-    /// End of the cold start.
-    pub warm: Time,
-    /// Busy slot time within the measuring window.
-    pub used: Span,
+    /// Factor by which running times are longer before `warm_at`.
+    pub cold_factor: f64,
+    /// End of the slow phase after a start.
+    pub warm_at: Time,
+    /// Sum of the busy times of all slots within the measuring window.
+    pub busy_time: Span,
     window: (Time, Time),
 }
 
 impl Host {
-    /// An idle host; busy time counts within the window.
+    /// Creates an idle host that counts busy time within the window.
     ///
     /// ```
     /// use usher_bench::model::Host;
     /// use usher_types::{Span, Time};
     /// let host = Host::new(0.5, 3, (Time::ZERO, Time::ZERO));
-    /// assert_eq!(host.length(Time::ZERO, Span::from_millis(5)), Span::from_millis(10));
+    /// assert_eq!(host.duration(Time::ZERO, Span::from_millis(5)), Span::from_millis(10));
     /// ```
     pub fn new(speed: f64, slots: u16, window: (Time, Time)) -> Self {
         Self {
             speed,
             slots: usize::from(slots),
             busy: 0,
-            cold: 1.0,
-            warm: Time::ZERO,
-            used: Span::ZERO,
+            cold_factor: 1.0,
+            warm_at: Time::ZERO,
+            busy_time: Span::ZERO,
             window,
         }
     }
 
-    /// Time that a run of this much work takes.
-    pub fn length(&self, now: Time, work: Span) -> Span {
-        let cold = if now < self.warm { self.cold } else { 1.0 };
+    /// Running time of a request with this much work.
+    pub fn duration(&self, now: Time, work: Span) -> Span {
+        let cold = if now < self.warm_at {
+            self.cold_factor
+        } else {
+            1.0
+        };
         work.scale(cold / self.speed)
     }
 
@@ -55,11 +59,11 @@
         self.busy += 1;
     }
 
-    /// Frees the slot of a run.
+    /// Frees the slot of a request that started at `started`.
     pub fn end(&mut self, started: Time, now: Time) {
         self.busy -= 1;
         let from = started.max(self.window.0);
         let until = now.min(self.window.1);
-        self.used = self.used + until.since(from);
+        self.busy_time = self.busy_time + until.since(from);
     }
 }
--- a/crates/bench/src/model/mod.rs
+++ b/crates/bench/src/model/mod.rs
@@ -1,16 +1,16 @@
-//! Fakes of hosts and callers, the workload, and what a run measures.
+//! The simulated deployments and hosts, the workload, and the result of a run.
 
-mod calendar;
 mod deployment;
+mod event_queue;
 mod host;
-mod plan;
-mod tally;
+mod run_result;
 mod work;
+mod workload;
 
-pub use calendar::Calendar;
 pub use deployment::Deployment;
+pub use event_queue::EventQueue;
 pub use host::Host;
-pub use plan::{Arrival, Flow, Plan, Shape};
-pub(crate) use plan::{SERVICE, flow_number};
-pub use tally::{Ending, Tally};
+pub use run_result::{Ending, RunResult};
 pub use work::Work;
+pub use workload::{Arrival, Flow, LoadProfile, Workload};
+pub(crate) use workload::{SERVICE, flow_number};
--- a/crates/bench/src/model/work.rs
+++ b/crates/bench/src/model/work.rs
@@ -7,20 +7,20 @@
     pub method: &'static str,
     /// Mean running time on a host of speed 1.
     pub time: Span,
-    /// Share of all requests.
+    /// Share of the requests, relative to the shares of the other kinds.
     pub share: f64,
-    /// The method is declared as long in the profile.
+    /// Whether the profile declares the method as long.
     pub long: bool,
-    /// The request may not be repeated.
+    /// Whether the request must not be executed twice.
     pub once: bool,
-    /// Precedence under overload.
+    /// Priority under overload.
     pub priority: Priority,
-    /// How long the caller waits.
+    /// Time that the caller waits for an answer.
     pub deadline: Span,
 }
 
 impl Work {
-    /// Reads, short.
+    /// A short read.
     pub(crate) const fn read(method: &'static str, millis: u64, share: f64) -> Self {
         Self {
             method,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Non-repeatable requests, short.
+    /// A short request that must not be executed twice.
     pub(crate) const fn once(method: &'static str, millis: u64, share: f64) -> Self {
         let mut work = Self::read(method, millis, share);
         work.once = true;
@@ -42,7 +42,7 @@
         work
     }
 
-    /// Long work.
+    /// A long request.
     pub(crate) const fn long(method: &'static str, millis: u64, share: f64) -> Self {
         let mut work = Self::read(method, millis, share);
         work.long = true;
--- a/crates/bench/src/subject/agents.rs
+++ b/crates/bench/src/subject/agents.rs
@@ -12,33 +12,35 @@
     Span, Time,
 };
 
-use super::node::{Life, Node};
+use super::node::{Node, Phase};
 
-use crate::model::{Calendar, Deployment, Host, Plan, Tally};
+use crate::model::{Deployment, EventQueue, Host, RunResult, Workload};
 
-const HINTS: usize = 100_000;
-const DRAIN: Span = Span::from_secs(15);
-// A process that has left forwards packets of the flows that it handed over.
+// Hints that a balancer holds at most.
+const HINT_CAPACITY: usize = 100_000;
+// Simulated time after the last request, in which open requests end.
+const SETTLE_TIME: Span = Span::from_secs(15);
+// A process that has left the roster still forwards packets of flows that it handed over.
 const LINGER: Span = Span::from_secs(5);
-pub(crate) const BEAT: Span = Span::from_secs(1);
+pub(crate) const BEAT_INTERVAL: Span = Span::from_secs(1);
 
-/// Parts of the system that a run varies.
+/// Settings and faults that differ between runs of the system.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
     /// Scheduling policy.
     pub policy: Policy,
-    /// Wait above which a new flow goes to the second candidate; `None` turns it off.
+    /// Queueing time above which a new flow goes to its second candidate; `None`: never.
     pub hunt: Option<Span>,
-    /// Rosters carry weights that hosts measure.
-    pub weights: bool,
-    /// Hosts whose backend server loses each run, from the first one on.
-    pub down: usize,
-    /// Transmissions of a request by its caller, and whether they share one attempt budget.
-    pub caller: (u16, bool),
+    /// Whether rosters carry the weights that hosts measure.
+    pub measured_weights: bool,
+    /// Number of hosts, from the first one on, whose backend server fails each call.
+    pub failed_hosts: usize,
+    /// Most transmissions by the caller, and whether they share one attempt budget.
+    pub caller_policy: (u16, bool),
     /// Share of successes that agents spend on retries.
     pub retries: Share,
-    /// Time between planned restarts of one host after another.
-    pub restarts: Option<Span>,
+    /// Interval between planned restarts of one host after another; `None`: no restarts.
+    pub restart_interval: Option<Span>,
 }
 
 impl Default for Options {
@@ -46,34 +48,37 @@
         Self {
             policy: Policy::default(),
             hunt: Some(Profile::default().hunt),
-            weights: false,
-            down: 0,
-            caller: (1, true),
+            measured_weights: false,
+            failed_hosts: 0,
+            caller_policy: (1, true),
             retries: Profile::default().retries,
-            restarts: None,
+            restart_interval: None,
         }
     }
 }
 
-/// The real agents and routers between fake callers and fake backend servers.
+/// The real agents and routers with simulated callers, backend servers and network.
 ///
-/// Messages between processes arrive after the one-way latency of the deployment; none is lost.
+/// Messages arrive after the one-way latency of the deployment; none is lost.
 pub struct Agents<'a> {
     pub(super) site: &'a Deployment,
-    pub(super) plan: &'a Plan,
+    pub(super) workload: &'a Workload,
     pub(super) options: &'a Options,
-    pub(super) calendar: Calendar<Step>,
+    pub(super) events: EventQueue<Step>,
     pub(super) nodes: Vec<Node>,
     pub(super) routers: Vec<Router>,
     pub(super) hints: Vec<HintTable>,
     pub(super) roster: Arc<Roster>,
     pub(super) rng: Pcg64,
+    /// Last sequence number that the caller used on each flow.
     pub(super) sequences: Vec<u32>,
+    /// Whether the caller knows that its flow was accepted.
     pub(super) opened: Vec<bool>,
-    /// Message number and transmissions of each arrival.
+    /// Message id and number of transmissions of each request.
     pub(super) sent: Vec<(MessageId, u16)>,
-    pub(super) ids: HashMap<RequestId, usize>,
-    pub(super) tally: Tally,
+    /// Index of the request that each request id stands for.
+    pub(super) requests: HashMap<RequestId, usize>,
+    pub(super) result: RunResult,
     end: Time,
 }
 
@@ -84,28 +89,50 @@
     Records(usher_dedupe::Transfer),
 }
 
+/// A simulated event; numbers are indexes of flows, requests, hosts or balancers.
 #[derive(Debug)]
 pub(super) enum Step {
+    /// A caller opens the flow.
     Open(usize),
+    /// A caller closes the flow.
     Close(usize),
+    /// A caller sends the request.
     Arrive(usize),
+    /// A caller's packet arrives at the balancer.
     ToBalancer(usize, Packet),
+    /// A packet arrives at its caller.
     ToCaller(Packet),
+    /// A message arrives at the host from the given sender.
     Message(usize, SocketAddrV4, Message),
+    /// A hint arrives at the balancer.
     Hint(usize, Hint),
+    /// The host starts to run the request given by its id and its index.
     Run(usize, RequestId, usize),
+    /// The host ends a run that started at the given time.
     RunEnd(usize, RequestId, Time),
+    /// A timer of the host's agent is due.
     Tick(usize),
+    /// The host sends heartbeats.
     Beat(usize),
-    Weigh(usize),
+    /// The host's measured weight is compared with the one in the roster.
+    UpdateWeight(usize),
+    /// The caller repeats the request if it is still open, after the given delay.
     Resend(usize, Span),
+    /// The caller opens the flow again if it was not accepted.
     Reopen(usize),
+    /// The roster reaches the host.
     View(usize, Arc<Roster>),
+    /// The roster reaches the balancer.
     Table(usize, Arc<Roster>),
+    /// The host starts to drain for a planned restart.
     Drain(usize),
+    /// A handover arrives at the first host from the second one.
     Transfer(usize, usize, Transfer),
+    /// The answer to a handover arrives at the host that sent it.
     Reply(usize, Event),
+    /// The process on the host exits.
     Exit(usize),
+    /// A new process on the host joins the roster.
     Join(usize),
 }
 
@@ -118,19 +145,19 @@
 }
 
 impl<'a> Agents<'a> {
-    /// Agents that have adopted a roster of equal weights.
+    /// Creates agents that have adopted a roster of equal weights.
     pub(crate) fn new(
         site: &'a Deployment,
-        plan: &'a Plan,
+        workload: &'a Workload,
         window: (Time, Time),
         options: &'a Options,
         seed: u64,
     ) -> Self {
-        let last = plan
+        let last = workload
             .arrivals
             .last()
             .map_or(Time::ZERO, |arrival| arrival.at);
-        let end = last + DRAIN;
+        let end = last + SETTLE_TIME;
         let hosts = site
             .speeds
             .iter()
@@ -138,21 +165,23 @@
             .collect();
         let mut agents = Self {
             site,
-            plan,
+            workload,
             options,
-            calendar: Calendar::default(),
+            events: EventQueue::default(),
             nodes: (0..site.speeds.len())
                 .map(|i| Node::new(site, options, i, Incarnation::new(1)))
                 .collect(),
             routers: vec![Router::default(); site.balancers],
-            hints: (0..site.balancers).map(|_| HintTable::new(HINTS)).collect(),
+            hints: (0..site.balancers)
+                .map(|_| HintTable::new(HINT_CAPACITY))
+                .collect(),
             roster: Arc::default(),
             rng: Pcg64::seed_from_u64(seed),
-            sequences: vec![0; plan.flows.len()],
-            opened: vec![false; plan.flows.len()],
-            sent: vec![(MessageId::new(0), 0); plan.arrivals.len()],
-            ids: HashMap::new(),
-            tally: Tally::new(plan, hosts, end - Time::ZERO),
+            sequences: vec![0; workload.flows.len()],
+            opened: vec![false; workload.flows.len()],
+            sent: vec![(MessageId::new(0), 0); workload.arrivals.len()],
+            requests: HashMap::new(),
+            result: RunResult::new(workload, hosts, end - Time::ZERO),
             end,
         };
         agents.start();
@@ -160,7 +189,8 @@
     }
 
     fn start(&mut self) {
-        // The flow table keeps the threshold of the first profile; the scheduler follows later ones.
+        // The flow table keeps the hunt threshold of the first profile, while the scheduler follows
+        // later ones: a first profile of one hour turns hunting off.
         if self.options.hunt.is_none() {
             let off = Profile {
                 hunt: Span::from_secs(3_600),
@@ -170,42 +200,44 @@
         }
         self.adopt(Time::ZERO, &self.profile());
         for node in 0..self.nodes.len() {
-            let offset = BEAT.scale(node as f64 / self.nodes.len() as f64);
-            self.calendar.add(Time::ZERO + offset, Step::Beat(node));
-            if self.options.weights {
-                self.calendar
-                    .add(Time::ZERO + BEAT * 10 + offset, Step::Weigh(node));
+            let offset = BEAT_INTERVAL.scale(node as f64 / self.nodes.len() as f64);
+            self.events.add(Time::ZERO + offset, Step::Beat(node));
+            if self.options.measured_weights {
+                self.events.add(
+                    Time::ZERO + BEAT_INTERVAL * 10 + offset,
+                    Step::UpdateWeight(node),
+                );
             }
         }
-        if let Some(gap) = self.options.restarts {
+        if let Some(gap) = self.options.restart_interval {
             for node in 0..self.nodes.len() {
                 let at = Time::ZERO + gap * (node as u64 + 1);
-                self.calendar.add(at, Step::Drain(node));
+                self.events.add(at, Step::Drain(node));
             }
         }
-        for (number, flow) in self.plan.flows.iter().enumerate() {
-            self.calendar.add(flow.opens, Step::Open(number));
+        for (number, flow) in self.workload.flows.iter().enumerate() {
+            self.events.add(flow.opens, Step::Open(number));
             if let Some(at) = flow.closes {
-                self.calendar.add(at, Step::Close(number));
+                self.events.add(at, Step::Close(number));
             }
         }
-        for (number, arrival) in self.plan.arrivals.iter().enumerate() {
-            self.calendar.add(arrival.at, Step::Arrive(number));
+        for (number, arrival) in self.workload.arrivals.iter().enumerate() {
+            self.events.add(arrival.at, Step::Arrive(number));
         }
     }
 
-    /// Serves the plan to its end.
-    pub(crate) fn run(mut self) -> Tally {
-        while let Some((now, step)) = self.calendar.pop() {
+    /// Simulates the workload to its end.
+    pub(crate) fn run(mut self) -> RunResult {
+        while let Some((now, step)) = self.events.pop() {
             if now > self.end {
                 break;
             }
-            self.act(now, step);
+            self.apply(now, step);
         }
-        self.tally
+        self.result
     }
 
-    fn act(&mut self, now: Time, step: Step) {
+    fn apply(&mut self, now: Time, step: Step) {
         match step {
             Step::Open(flow) => self.open(now, flow),
             Step::Close(flow) => self.close(now, flow),
@@ -218,37 +250,39 @@
             Step::RunEnd(node, id, started) => self.end_run(now, node, id, started),
             Step::Tick(node) => self.tick(now, node),
             Step::Beat(node) => self.beat(now, node),
-            Step::Weigh(node) => self.weigh(now, node),
+            Step::UpdateWeight(node) => self.update_weight(now, node),
             Step::Resend(number, delay) => self.resend(now, number, delay),
             Step::Reopen(flow) => self.reopen(now, flow),
-            Step::View(node, roster) => self.view(now, node, roster),
-            Step::Table(balancer, roster) => self.table(balancer, &roster),
+            Step::View(node, roster) => self.update_view(now, node, roster),
+            Step::Table(balancer, roster) => self.update_table(balancer, &roster),
             Step::Drain(node) => self.drain(now, node),
             Step::Transfer(to, from, transfer) => self.take_transfer(now, to, from, transfer),
-            Step::Reply(node, event) => self.feed(now, node, event),
+            Step::Reply(node, event) => self.handle_event(now, node, event),
             Step::Exit(node) => self.exit(now, node),
             Step::Join(node) => self.join(now, node),
         }
     }
 
-    pub(super) fn feed(&mut self, now: Time, node: usize, event: Event) {
-        if self.nodes[node].life == Life::Gone {
+    /// Gives an event to an agent and carries out the actions that it returns.
+    pub(super) fn handle_event(&mut self, now: Time, node: usize, event: Event) {
+        if self.nodes[node].phase == Phase::Exited {
             return;
         }
         let actions = self.nodes[node].agent.handle(now, event);
         for action in actions {
             self.carry_out(now, node, action);
         }
-        self.arm(node);
+        self.schedule_tick(node);
     }
 
-    pub(super) fn arm(&mut self, node: usize) {
+    /// Schedules a tick for the agent's next timer, unless an earlier one is scheduled.
+    pub(super) fn schedule_tick(&mut self, node: usize) {
         let due = self.nodes[node].agent.next_timer();
         if let Some(due) = due
             && self.nodes[node].tick.is_none_or(|planned| due < planned)
         {
             self.nodes[node].tick = Some(due);
-            self.calendar.add(due, Step::Tick(node));
+            self.events.add(due, Step::Tick(node));
         }
     }
 
@@ -262,9 +296,9 @@
             .next_timer()
             .is_some_and(|due| due <= now)
         {
-            self.feed(now, node, Event::Tick);
+            self.handle_event(now, node, Event::Tick);
         } else {
-            self.arm(node);
+            self.schedule_tick(node);
         }
     }
 
@@ -272,21 +306,21 @@
         match action {
             Action::Send { to, message } => self.send(now, node, to, message),
             Action::Packet(packet) => {
-                self.calendar
-                    .add(now + self.site.edge, Step::ToCaller(packet));
+                self.events
+                    .add(now + self.site.caller_latency, Step::ToCaller(packet));
             }
             Action::Deliver { id, bytes } => self.deliver(now, node, id, &bytes),
             Action::Answer { id, outcome } => self.answer(now, node, id, &outcome),
             Action::Run {
                 id, body, start_by, ..
             } => {
-                let number = super::agents_callers::number(&body);
-                self.tally.runs += 1;
-                if now > start_by || !self.tally.hosts[node].has_free() {
-                    return self.feed(now, node, Event::Refused(id));
+                let number = super::agents_callers::arrival_number(&body);
+                self.result.runs += 1;
+                if now > start_by || !self.result.hosts[node].has_free() {
+                    return self.handle_event(now, node, Event::Refused(id));
                 }
-                self.calendar.add(now, Step::Run(node, id, number));
-                self.tally.hosts[node].begin();
+                self.events.add(now, Step::Run(node, id, number));
+                self.result.hosts[node].begin();
             }
             Action::CancelRun(id) => self.cancel(now, node, id),
             Action::HandOverFlows { to, transfer } => {
@@ -296,7 +330,7 @@
                 self.hand_over(now, node, &to, Transfer::Records(transfer));
             }
             Action::Drained => self.leave(now, node),
-            Action::RecordsDrained => self.calendar.add(now + LINGER, Step::Exit(node)),
+            Action::RecordsDrained => self.events.add(now + LINGER, Step::Exit(node)),
             _ => {}
         }
     }
--- a/crates/bench/src/subject/agents_hosts.rs
+++ b/crates/bench/src/subject/agents_hosts.rs
@@ -1,4 +1,4 @@
-//! Backend servers, heartbeats and rosters.
+//! The simulated backend servers, and the heartbeats and rosters of the hosts.
 
 use std::net::SocketAddrV4;
 
@@ -10,32 +10,33 @@
 use usher_wire::encode_message;
 
 use super::Agents;
-use super::agents::{BEAT, Step};
-use super::node::{Node, agent_address, balancer_address, node_at};
+use super::agents::{BEAT_INTERVAL, Step};
+use super::node::{Node, address_index, agent_address, balancer_address};
 
-// A backend server notices a cancellation between two steps of its work.
-const CANCEL: Span = Span::from_millis(50);
-// A connection to a dead backend server ends at once.
-const FAULT: Span = Span::from_millis(1);
-const WEIGH: Span = Span::from_secs(10);
+// A backend server checks for cancellation between the steps of its work.
+const CANCEL_DELAY: Span = Span::from_millis(50);
+// A call to a failed backend server ends almost at once.
+const FAILURE_DELAY: Span = Span::from_millis(1);
+const WEIGHT_INTERVAL: Span = Span::from_secs(10);
+// Least relative change of a weight that leads to a new roster.
 const HYSTERESIS: f64 = 0.1;
-// A write keeps the rosters that may not have settled yet.
-const MAX_EARLIER: usize = 8;
+// A new roster lists earlier ones that processes may still use.
+const MAX_EARLIER_ROSTERS: usize = 8;
 
 impl Agents<'_> {
     pub(super) fn send(&mut self, now: Time, node: usize, to: SocketAddrV4, message: Message) {
         if !matches!(message, Message::Relay(_)) {
             let length = encode_message(&message).map_or(0, |bytes| bytes.len());
-            self.tally.control[node] += length as u64;
+            self.result.control[node] += length as u64;
         }
-        let at = now + self.site.inner;
+        let at = now + self.site.centre_latency;
         let from = agent_address(node);
         match message {
-            Message::Hint(hint) => self.calendar.add(at, Step::Hint(node_at(to), hint)),
+            Message::Hint(hint) => self.events.add(at, Step::Hint(address_index(to), hint)),
             _ if to.port() != from.port() => {}
             message => self
-                .calendar
-                .add(at, Step::Message(node_at(to), from, message)),
+                .events
+                .add(at, Step::Message(address_index(to), from, message)),
         }
     }
 
@@ -50,7 +51,7 @@
             Message::Beat(beat) => Some(beat.sent),
             _ => None,
         };
-        self.feed(now, node, Event::Message { from, message });
+        self.handle_event(now, node, Event::Message { from, message });
         if let Some(sent) = beat {
             let ack = BeatAck {
                 from: Peer::Host(self.nodes[node].host.clone()),
@@ -63,7 +64,7 @@
     }
 
     pub(super) fn beat(&mut self, now: Time, node: usize) {
-        self.calendar.add(now + BEAT, Step::Beat(node));
+        self.events.add(now + BEAT_INTERVAL, Step::Beat(node));
         let Some(summary) = self.nodes[node].agent.summary(now) else {
             return;
         };
@@ -91,9 +92,10 @@
         view.map_or(Version::default(), |view| view.roster.version)
     }
 
-    /// Puts the host's measured weight into the roster when it differs enough.
-    pub(super) fn weigh(&mut self, now: Time, node: usize) {
-        self.calendar.add(now + WEIGH, Step::Weigh(node));
+    /// Puts the host's measured weight into the roster if it differs enough.
+    pub(super) fn update_weight(&mut self, now: Time, node: usize) {
+        self.events
+            .add(now + WEIGHT_INTERVAL, Step::UpdateWeight(node));
         let Some(summary) = self.nodes[node].agent.summary(now) else {
             return;
         };
@@ -106,16 +108,16 @@
     }
 
     pub(super) fn start_run(&mut self, now: Time, node: usize, id: RequestId, number: usize) {
-        let work = self.plan.arrivals[number].work;
-        let length = self.tally.hosts[node].length(now, work);
-        let length = if node < self.options.down {
-            FAULT
+        let work = self.workload.arrivals[number].work;
+        let duration = self.result.hosts[node].duration(now, work);
+        let duration = if node < self.options.failed_hosts {
+            FAILURE_DELAY
         } else {
-            length
+            duration
         };
-        let end = now + length;
+        let end = now + duration;
         self.nodes[node].runs.insert(id, now);
-        self.calendar.add(end, Step::RunEnd(node, id, now));
+        self.events.add(end, Step::RunEnd(node, id, now));
     }
 
     pub(super) fn end_run(&mut self, now: Time, node: usize, id: RequestId, started: Time) {
@@ -123,23 +125,23 @@
             return;
         }
         self.nodes[node].runs.remove(&id);
-        self.tally.hosts[node].end(started, now);
-        if node < self.options.down {
-            return self.feed(now, node, Event::Lost(id));
+        self.result.hosts[node].end(started, now);
+        if node < self.options.failed_hosts {
+            return self.handle_event(now, node, Event::Lost(id));
         }
         let outcome = Outcome::Answered(Payload::default());
-        self.feed(now, node, Event::Finished { id, outcome });
+        self.handle_event(now, node, Event::Finished { id, outcome });
     }
 
     pub(super) fn cancel(&mut self, now: Time, node: usize, id: RequestId) {
         if let Some(started) = self.nodes[node].runs.get(&id) {
-            self.calendar
-                .add(now + CANCEL, Step::RunEnd(node, id, *started));
+            self.events
+                .add(now + CANCEL_DELAY, Step::RunEnd(node, id, *started));
         }
     }
 }
 
-/// The roster after the current one, from what the nodes want to be listed as.
+/// Builds the next roster from the states and weights of the nodes.
 pub(super) fn next_roster(current: &Roster, nodes: &[Node]) -> Roster {
     let member = |(index, node): (usize, &Node)| {
         let agent = agent_address(index);
@@ -166,6 +168,6 @@
     Roster {
         version: current.version.next(),
         members: nodes.iter().enumerate().filter_map(member).collect(),
-        earlier: earlier.take(MAX_EARLIER).collect(),
+        earlier: earlier.take(MAX_EARLIER_ROSTERS).collect(),
     }
 }
--- a/crates/bench/src/subject/agents_network.rs
+++ b/crates/bench/src/subject/agents_network.rs
@@ -1,4 +1,4 @@
-//! The fabric, the balancers and the distribution of rosters.
+//! The simulated network, the balancers and the distribution of rosters.
 
 use std::sync::Arc;
 
@@ -10,74 +10,77 @@
 use super::Agents;
 use super::agents::Step;
 use super::agents_hosts::next_roster;
-use super::node::{balancer_address, node_at, service};
+use super::node::{address_index, balancer_address, service};
 use crate::model::SERVICE;
 
-// Processes adopt a roster within a second of each other.
-const SPREAD: Span = Span::from_secs(1);
+// Longest time after which a process adopts a new roster.
+const ADOPTION_SPREAD: Span = Span::from_secs(1);
 
 impl Agents<'_> {
+    /// Routes a packet at a balancer and sends it to the chosen host.
     pub(super) fn forward(&mut self, now: Time, balancer: usize, packet: Packet) {
         let address = balancer_address(balancer);
         let forward = self.routers[balancer].forward(packet, &mut self.hints[balancer], address);
         if let Forward::Send { to, relay } = forward {
-            let node = node_at(to);
+            let node = address_index(to);
             let step = Step::Message(node, address, Message::Relay(relay));
-            self.calendar.add(now + self.site.inner, step);
+            self.events.add(now + self.site.centre_latency, step);
         }
     }
 
-    /// A random balancer, as the fabric sprays packets.
+    /// Sends a packet to a random balancer, as the network sprays packets.
     pub(super) fn spray(&mut self, now: Time, packet: Packet) {
         let balancer = self.rng.random_range(0..self.hints.len());
         let step = Step::ToBalancer(balancer, packet);
-        self.calendar.add(now + self.site.edge, step);
+        self.events.add(now + self.site.caller_latency, step);
     }
 
-    /// Puts a new roster in force in all processes at once.
+    /// Lets all processes adopt a new roster at once.
     pub(super) fn adopt(&mut self, now: Time, profile: &Profile) {
         self.roster = Arc::new(next_roster(&self.roster, &self.nodes));
         let roster = Arc::clone(&self.roster);
         for balancer in 0..self.routers.len() {
-            self.table(balancer, &roster);
+            self.update_table(balancer, &roster);
         }
         for node in 0..self.nodes.len() {
-            self.feed_view(now, node, Arc::clone(&roster), profile);
+            self.handle_view(now, node, Arc::clone(&roster), profile);
         }
     }
 
-    /// Writes a new roster; each process adopts it at a time of its own.
+    /// Publishes a new roster, which each process adopts after a random delay.
     pub(super) fn publish(&mut self, now: Time) {
         self.roster = Arc::new(next_roster(&self.roster, &self.nodes));
         for node in 0..self.nodes.len() {
             let step = Step::View(node, Arc::clone(&self.roster));
             let at = now + self.delay();
-            self.calendar.add(at, step);
+            self.events.add(at, step);
         }
         for balancer in 0..self.routers.len() {
             let step = Step::Table(balancer, Arc::clone(&self.roster));
             let at = now + self.delay();
-            self.calendar.add(at, step);
+            self.events.add(at, step);
         }
     }
 
     fn delay(&mut self) -> Span {
-        SPREAD.scale(self.rng.random())
+        ADOPTION_SPREAD.scale(self.rng.random())
     }
 
-    /// An agent adopts a roster, unless it knows a newer one or has not been listed yet.
-    pub(super) fn view(&mut self, now: Time, node: usize, roster: Arc<Roster>) {
+    /// Lets an agent adopt a roster that is newer than its own.
+    ///
+    /// An agent without a roster adopts one only if it is listed there.
+    pub(super) fn update_view(&mut self, now: Time, node: usize, roster: Arc<Roster>) {
         let known = self.nodes[node].agent.view();
         let is_old = known.is_some_and(|view| view.roster.version >= roster.version);
         let own = roster.members.get(&self.nodes[node].host);
         let is_listed = own.is_some_and(|m| m.incarnation == self.nodes[node].incarnation);
         if !is_old && (is_listed || known.is_some()) {
             let profile = self.profile();
-            self.feed_view(now, node, roster, &profile);
+            self.handle_view(now, node, roster, &profile);
         }
     }
 
-    fn feed_view(&mut self, now: Time, node: usize, roster: Arc<Roster>, profile: &Profile) {
+    fn handle_view(&mut self, now: Time, node: usize, roster: Arc<Roster>, profile: &Profile) {
         let view = View {
             generation: Generation::new(1),
             profile: Arc::new(profile.clone()),
@@ -85,10 +88,11 @@
             revision: Version::new(1),
             created: self.nodes[node].incarnation.get() == 1,
         };
-        self.feed(now, node, Event::View(view));
+        self.handle_event(now, node, Event::View(view));
     }
 
-    pub(super) fn table(&mut self, balancer: usize, roster: &Roster) {
+    /// Lets a balancer adopt a roster, unless it knows it or a newer one.
+    pub(super) fn update_table(&mut self, balancer: usize, roster: &Roster) {
         let address = SERVICE;
         let known = self.routers[balancer]
             .table(address)
--- a/crates/bench/src/subject/agents_restart.rs
+++ b/crates/bench/src/subject/agents_restart.rs
@@ -1,30 +1,33 @@
-//! Planned restarts: drain, handover, leave, exit and join.
+//! Planned restarts: a host drains, hands over, leaves the roster, exits and joins again.
 
 use usher_agent::{Action, Event};
 use usher_types::{HostId, HostState, Incarnation, Span, Time};
 
 use super::Agents;
 use super::agents::{Step, Transfer};
-use super::node::{Life, Node};
+use super::node::{Node, Phase};
 
-// From the end of a process to the start of the next one.
-const DOWN: Span = Span::from_secs(2);
+// Time between the exit of a process and the start of its successor.
+const RESTART_DELAY: Span = Span::from_secs(2);
 
 impl Agents<'_> {
     pub(super) fn drain(&mut self, now: Time, node: usize) {
         self.nodes[node].state = Some(HostState::Draining);
         self.publish(now);
-        self.feed(now, node, Event::Drain);
+        self.handle_event(now, node, Event::Drain);
     }
 
     pub(super) fn hand_over(&mut self, now: Time, node: usize, to: &HostId, transfer: Transfer) {
         let receiver = self.nodes.iter().position(|other| other.host == *to);
         if let Some(receiver) = receiver {
             let step = Step::Transfer(receiver, node, transfer);
-            self.calendar.add(now + self.site.inner, step);
+            self.events.add(now + self.site.centre_latency, step);
         }
     }
 
+    /// Gives handed-over flows or records to their new host.
+    ///
+    /// The old host gets the answer.
     pub(super) fn take_transfer(&mut self, now: Time, to: usize, from: usize, transfer: Transfer) {
         let is_flows = matches!(transfer, Transfer::Flows(_));
         let event = match transfer {
@@ -36,7 +39,7 @@
             to: host.clone(),
             flows: None,
         });
-        if self.nodes[to].life != Life::Gone {
+        if self.nodes[to].phase != Phase::Exited {
             for action in self.nodes[to].agent.handle(now, event) {
                 match action {
                     Action::TookFlows(flows) => {
@@ -54,29 +57,29 @@
                     action => self.carry_out(now, to, action),
                 }
             }
-            self.arm(to);
+            self.schedule_tick(to);
         }
         if let Some(answer) = answer {
-            self.calendar
-                .add(now + self.site.inner, Step::Reply(from, answer));
+            self.events
+                .add(now + self.site.centre_latency, Step::Reply(from, answer));
         }
     }
 
-    /// Flows and requests have gone: the process leaves the roster.
+    /// Takes a process without flows and requests out of the roster.
     pub(super) fn leave(&mut self, now: Time, node: usize) {
-        if self.nodes[node].life != Life::Running {
+        if self.nodes[node].phase != Phase::Running {
             return;
         }
-        self.nodes[node].life = Life::Leaving;
+        self.nodes[node].phase = Phase::Leaving;
         self.nodes[node].state = None;
         self.publish(now);
-        self.feed(now, node, Event::Leave);
+        self.handle_event(now, node, Event::Leave);
     }
 
     pub(super) fn exit(&mut self, now: Time, node: usize) {
-        if self.nodes[node].life == Life::Leaving {
-            self.nodes[node].life = Life::Gone;
-            self.calendar.add(now + DOWN, Step::Join(node));
+        if self.nodes[node].phase == Phase::Leaving {
+            self.nodes[node].phase = Phase::Exited;
+            self.events.add(now + RESTART_DELAY, Step::Join(node));
         }
     }
 
--- a/crates/bench/src/subject/baseline.rs
+++ b/crates/bench/src/subject/baseline.rs
@@ -5,61 +5,70 @@
 use usher_placement::{bucket_of, rank};
 use usher_types::{Buckets, HostId, Span, Time, Weight};
 
-use crate::model::{Calendar, Deployment, Ending, Host, Plan, Tally};
+use crate::model::{Deployment, Ending, EventQueue, Host, RunResult, Workload};
 
-// Age of the load that hosts report.
-const LAG: Span = Span::from_secs(1);
+// Interval between the load reports of the hosts.
+const REPORT_INTERVAL: Span = Span::from_secs(1);
 const BUCKETS: Buckets = Buckets::new(4_096);
 
-/// How a simple balancer assigns a new flow to a host.
+/// How a simple balancer selects the host of a new flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Choice {
+pub enum Balancing {
     /// Rendezvous hashing with equal weights.
     Hash,
-    /// Each balancer in turn.
+    /// Each balancer takes the hosts in turn.
     RoundRobin,
-    /// Fewest connections and requests by the last report.
+    /// The host with the fewest connections and requests in the last report.
     LeastLoaded,
-    /// The better of two random hosts by the last report.
+    /// The less loaded of two random hosts in the last report.
     TwoChoices,
 }
 
 /// A simple balancer in front of hosts with first-in-first-out queues.
 ///
-/// Hosts report connections and held requests once a second.
+/// Hosts report their connections and their queued and running requests once a second.
 #[derive(Debug)]
 pub struct Baseline<'a> {
     site: &'a Deployment,
-    plan: &'a Plan,
-    choice: Choice,
-    limit: usize,
+    workload: &'a Workload,
+    balancing: Balancing,
+    queue_limit: usize,
     rng: Pcg64,
-    calendar: Calendar<Step>,
-    names: Vec<HostId>,
+    events: EventQueue<Step>,
+    host_ids: Vec<HostId>,
     queues: Vec<VecDeque<usize>>,
     connections: Vec<usize>,
+    // Load in the last report of each host.
     reports: Vec<usize>,
+    // Host that each balancer took last in its turn, modulo the number of hosts.
     turns: Vec<usize>,
-    holders: Vec<usize>,
-    tally: Tally,
+    // Host of each flow.
+    flow_hosts: Vec<usize>,
+    result: RunResult,
 }
 
+/// A simulated event; numbers are indexes of flows, hosts and requests.
 #[derive(Debug)]
 enum Step {
+    /// The balancer assigns the flow to a host.
     Open(usize),
+    /// The host's connection of the flow ends.
     Close(usize),
+    /// The request arrives at its host.
     Arrive(usize),
+    /// The host ends the request that it started at the given time.
     End(usize, usize, Time),
+    /// All hosts report their load.
     Report,
 }
 
 impl<'a> Baseline<'a> {
-    /// Idle hosts; `limit` bounds each queue.
+    /// Creates a balancer with idle hosts; `queue_limit` bounds the queue of each host.
     pub(crate) fn new(
         site: &'a Deployment,
-        plan: &'a Plan,
+        workload: &'a Workload,
         window: (Time, Time),
-        (choice, limit): (Choice, Option<usize>),
+        (balancing, queue_limit): (Balancing, Option<usize>),
         seed: u64,
     ) -> Self {
         let count = site.speeds.len();
@@ -68,68 +77,68 @@
             .iter()
             .map(|s| Host::new(*s, site.slots, window))
             .collect();
-        let names = (0..count)
+        let host_ids = (0..count)
             .filter_map(|i| format!("host-{i}").parse().ok())
             .collect();
         Self {
             site,
-            plan,
-            choice,
-            limit: limit.unwrap_or(usize::MAX),
+            workload,
+            balancing,
+            queue_limit: queue_limit.unwrap_or(usize::MAX),
             rng: Pcg64::seed_from_u64(seed),
-            calendar: Calendar::default(),
-            names,
+            events: EventQueue::default(),
+            host_ids,
             queues: vec![VecDeque::new(); count],
             connections: vec![0; count],
             reports: vec![0; count],
             turns: (0..site.balancers).collect(),
-            holders: vec![0; plan.flows.len()],
-            tally: Tally::new(plan, hosts, Span::ZERO),
+            flow_hosts: vec![0; workload.flows.len()],
+            result: RunResult::new(workload, hosts, Span::ZERO),
         }
     }
 
-    /// Serves the plan to its end.
-    pub(crate) fn run(mut self) -> Tally {
-        let way = self.site.edge + self.site.inner;
+    /// Simulates the workload to its end.
+    pub(crate) fn run(mut self) -> RunResult {
+        let latency = self.site.caller_latency + self.site.centre_latency;
         let mut last = Time::ZERO;
-        for (number, flow) in self.plan.flows.iter().enumerate() {
-            self.calendar.add(flow.opens + way, Step::Open(number));
+        for (number, flow) in self.workload.flows.iter().enumerate() {
+            self.events.add(flow.opens + latency, Step::Open(number));
             if let Some(at) = flow.closes {
-                self.calendar.add(at + way, Step::Close(number));
+                self.events.add(at + latency, Step::Close(number));
             }
         }
-        for (number, arrival) in self.plan.arrivals.iter().enumerate() {
-            self.calendar.add(arrival.at + way, Step::Arrive(number));
+        for (number, arrival) in self.workload.arrivals.iter().enumerate() {
+            self.events.add(arrival.at + latency, Step::Arrive(number));
             last = arrival.at;
         }
         let mut report = Time::ZERO;
         while report < last {
-            self.calendar.add(report, Step::Report);
-            report = report + LAG;
+            self.events.add(report, Step::Report);
+            report = report + REPORT_INTERVAL;
         }
-        while let Some((now, step)) = self.calendar.pop() {
-            self.act(now, &step);
+        while let Some((now, step)) = self.events.pop() {
+            self.apply(now, &step);
         }
-        self.tally
+        self.result
     }
 
-    fn act(&mut self, now: Time, step: &Step) {
+    fn apply(&mut self, now: Time, step: &Step) {
         match *step {
             Step::Open(flow) => {
-                self.holders[flow] = self.choose(flow);
-                self.connections[self.holders[flow]] += 1;
+                self.flow_hosts[flow] = self.choose(flow);
+                self.connections[self.flow_hosts[flow]] += 1;
             }
-            Step::Close(flow) => self.connections[self.holders[flow]] -= 1,
+            Step::Close(flow) => self.connections[self.flow_hosts[flow]] -= 1,
             Step::Arrive(number) => self.arrive(now, number),
             Step::End(host, number, started) => {
-                self.tally.hosts[host].end(started, now);
-                self.tally
-                    .end(number, now + self.site.edge, Ending::Answered);
+                self.result.hosts[host].end(started, now);
+                self.result
+                    .end(number, now + self.site.caller_latency, Ending::Answered);
                 self.dispatch(now, host);
             }
             Step::Report => {
                 for host in 0..self.reports.len() {
-                    let held = self.queues[host].len() + self.tally.hosts[host].busy;
+                    let held = self.queues[host].len() + self.result.hosts[host].busy;
                     self.reports[host] = self.connections[host] + held;
                 }
             }
@@ -137,24 +146,24 @@
     }
 
     fn choose(&mut self, flow: usize) -> usize {
-        let count = self.names.len();
-        match self.choice {
-            Choice::Hash => {
-                let bucket = bucket_of(&self.plan.flows[flow].id, BUCKETS);
-                let nominal = self.names.iter().map(|name| (name, Weight::NOMINAL));
+        let count = self.host_ids.len();
+        match self.balancing {
+            Balancing::Hash => {
+                let bucket = bucket_of(&self.workload.flows[flow].id, BUCKETS);
+                let nominal = self.host_ids.iter().map(|name| (name, Weight::NOMINAL));
                 let first = rank(u64::from(bucket.get()), nominal)[0];
-                self.names
+                self.host_ids
                     .iter()
                     .position(|name| name == first)
                     .unwrap_or(0)
             }
-            Choice::RoundRobin => {
+            Balancing::RoundRobin => {
                 let balancer = self.rng.random_range(0..self.turns.len());
                 self.turns[balancer] += 1;
                 self.turns[balancer] % count
             }
-            Choice::LeastLoaded => (0..count).min_by_key(|i| self.reports[*i]).unwrap_or(0),
-            Choice::TwoChoices => {
+            Balancing::LeastLoaded => (0..count).min_by_key(|i| self.reports[*i]).unwrap_or(0),
+            Balancing::TwoChoices => {
                 let (a, b) = (
                     self.rng.random_range(0..count),
                     self.rng.random_range(0..count),
@@ -169,11 +178,14 @@
     }
 
     fn arrive(&mut self, now: Time, number: usize) {
-        let host = self.holders[self.plan.arrivals[number].flow];
-        if self.queues[host].len() >= self.limit {
-            let idle = self.tally.any_free();
-            self.tally
-                .end(number, now + self.site.edge, Ending::NotRun { idle });
+        let host = self.flow_hosts[self.workload.arrivals[number].flow];
+        if self.queues[host].len() >= self.queue_limit {
+            let idle = self.result.any_free();
+            self.result.end(
+                number,
+                now + self.site.caller_latency,
+                Ending::NotRun { idle },
+            );
             return;
         }
         self.queues[host].push_back(number);
@@ -181,15 +193,16 @@
     }
 
     fn dispatch(&mut self, now: Time, host: usize) {
-        while self.tally.hosts[host].has_free() {
+        while self.result.hosts[host].has_free() {
             let Some(number) = self.queues[host].pop_front() else {
                 return;
             };
-            let length = self.tally.hosts[host].length(now, self.plan.arrivals[number].work);
-            self.tally.hosts[host].begin();
-            self.tally.runs += 1;
-            self.calendar
-                .add(now + length, Step::End(host, number, now));
+            let duration =
+                self.result.hosts[host].duration(now, self.workload.arrivals[number].work);
+            self.result.hosts[host].begin();
+            self.result.runs += 1;
+            self.events
+                .add(now + duration, Step::End(host, number, now));
         }
     }
 }
--- a/crates/bench/src/subject/kind.rs
+++ b/crates/bench/src/subject/kind.rs
@@ -1,28 +1,34 @@
 use usher_types::Time;
 
-use crate::model::{Deployment, Plan, Tally};
-use crate::subject::{Agents, Baseline, Choice, Options, Oracle};
+use crate::model::{Deployment, RunResult, Workload};
+use crate::subject::{Agents, Balancing, Baseline, Options, Oracle};
 
-/// Something that serves a plan.
+/// What serves the workload of a run.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Kind {
-    /// The system under the given options.
+pub enum SubjectKind {
+    /// The system with the given options.
     System(Options),
-    /// A simple balancer in front of plain queues.
-    Baseline(Choice, Option<usize>),
-    /// Perfect knowledge and one queue.
+    /// A simple balancer and, if set, the greatest length of the hosts' queues.
+    Baseline(Balancing, Option<usize>),
+    /// An ideal scheduler with perfect knowledge and one queue.
     Oracle,
 }
 
-impl Kind {
-    /// Runs the plan; busy time counts within the window.
-    pub fn run(&self, site: &Deployment, plan: &Plan, window: (Time, Time), seed: u64) -> Tally {
+impl SubjectKind {
+    /// Simulates the workload; hosts count busy time within the window.
+    pub fn run(
+        &self,
+        site: &Deployment,
+        workload: &Workload,
+        window: (Time, Time),
+        seed: u64,
+    ) -> RunResult {
         match self {
-            Self::System(options) => Agents::new(site, plan, window, options, seed).run(),
-            Self::Baseline(choice, limit) => {
-                Baseline::new(site, plan, window, (*choice, *limit), seed).run()
+            Self::System(options) => Agents::new(site, workload, window, options, seed).run(),
+            Self::Baseline(balancing, limit) => {
+                Baseline::new(site, workload, window, (*balancing, *limit), seed).run()
             }
-            Self::Oracle => Oracle::new(site, plan, window).run(),
+            Self::Oracle => Oracle::new(site, workload, window).run(),
         }
     }
 }
--- a/crates/bench/src/subject/mod.rs
+++ b/crates/bench/src/subject/mod.rs
@@ -1,4 +1,4 @@
-//! What is measured: the real decision code, the baselines and the oracle.
+//! The subjects of the experiments: the system, the baselines and the oracle.
 
 mod agents;
 mod agents_callers;
@@ -11,6 +11,6 @@
 mod oracle;
 
 pub use agents::{Agents, Options};
-pub use baseline::{Baseline, Choice};
-pub use kind::Kind;
+pub use baseline::{Balancing, Baseline};
+pub use kind::SubjectKind;
 pub use oracle::Oracle;
--- a/crates/bench/src/subject/node.rs
+++ b/crates/bench/src/subject/node.rs
@@ -7,26 +7,28 @@
 use super::Options;
 use crate::model::Deployment;
 
-/// An agent with the runs of its backend server.
+/// The agent process of one host, with the requests that its backend server runs.
 #[derive(Debug)]
 pub(super) struct Node {
     pub(super) host: HostId,
     pub(super) agent: AgentState,
+    /// Running requests and the times at which they started.
     pub(super) runs: HashMap<RequestId, Time>,
     pub(super) incarnation: Incarnation,
-    /// Entry in the roster; `None` when it is not listed.
+    /// State in the roster; `None` while the host is not listed.
     pub(super) state: Option<HostState>,
     pub(super) weight: Weight,
-    pub(super) life: Life,
+    pub(super) phase: Phase,
+    /// Time of the next scheduled tick.
     pub(super) tick: Option<Time>,
 }
 
-/// Where a process is in its planned restart.
+/// Phase of a process in its planned restart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Life {
+pub(super) enum Phase {
     Running,
     Leaving,
-    Gone,
+    Exited,
 }
 
 impl Node {
@@ -52,7 +54,7 @@
             incarnation,
             state: Some(HostState::Serving),
             weight: Weight::NOMINAL,
-            life: Life::Running,
+            phase: Phase::Running,
             tick: None,
         }
     }
@@ -78,6 +80,7 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 201, 0, index as u8), 9_000)
 }
 
-pub(super) fn node_at(address: SocketAddrV4) -> usize {
+/// Index of the agent or the balancer with this address.
+pub(super) fn address_index(address: SocketAddrV4) -> usize {
     usize::from(address.ip().octets()[3])
 }
--- a/crates/bench/src/subject/oracle.rs
+++ b/crates/bench/src/subject/oracle.rs
@@ -2,67 +2,70 @@
 
 use usher_types::{Span, Time};
 
-use crate::model::{Calendar, Deployment, Ending, Host, Plan, Tally};
+use crate::model::{Deployment, Ending, EventQueue, Host, RunResult, Workload};
 
-/// Perfect knowledge: one queue by deadline for all hosts, exact service times, no messages.
+/// An ideal scheduler: one queue by deadline for all hosts, exact service times, no messages.
 ///
-/// A request that can no longer be answered in time on any free host is dropped before it takes a
-/// slot. The fastest free host gets the next request.
+/// The fastest free host gets the next request. A request that can no longer be answered in time
+/// there is refused before it takes a slot.
 #[derive(Debug)]
 pub struct Oracle<'a> {
     site: &'a Deployment,
-    plan: &'a Plan,
-    calendar: Calendar<Step>,
+    workload: &'a Workload,
+    events: EventQueue<Step>,
     queue: BTreeSet<(Time, usize)>,
-    tally: Tally,
+    result: RunResult,
 }
 
+/// A simulated event; numbers are indexes of flows, hosts and requests.
 #[derive(Debug)]
 enum Step {
+    /// The request arrives at the queue.
     Arrive(usize),
+    /// The host ends the request that it started at the given time.
     End(usize, usize, Time),
 }
 
 impl<'a> Oracle<'a> {
-    /// An idle oracle.
-    pub(crate) fn new(site: &'a Deployment, plan: &'a Plan, window: (Time, Time)) -> Self {
+    /// Creates an oracle with idle hosts.
+    pub(crate) fn new(site: &'a Deployment, workload: &'a Workload, window: (Time, Time)) -> Self {
         let host = |speed: &f64| Host::new(*speed, site.slots, window);
         let hosts = site.speeds.iter().map(host).collect();
         Self {
             site,
-            plan,
-            calendar: Calendar::default(),
+            workload,
+            events: EventQueue::default(),
             queue: BTreeSet::new(),
-            tally: Tally::new(plan, hosts, Span::ZERO),
+            result: RunResult::new(workload, hosts, Span::ZERO),
         }
     }
 
-    /// Serves the plan to its end.
-    pub(crate) fn run(mut self) -> Tally {
-        for (number, arrival) in self.plan.arrivals.iter().enumerate() {
-            let at = arrival.at + self.site.edge + self.site.inner;
-            self.calendar.add(at, Step::Arrive(number));
+    /// Simulates the workload to its end.
+    pub(crate) fn run(mut self) -> RunResult {
+        for (number, arrival) in self.workload.arrivals.iter().enumerate() {
+            let at = arrival.at + self.site.caller_latency + self.site.centre_latency;
+            self.events.add(at, Step::Arrive(number));
         }
-        while let Some((now, step)) = self.calendar.pop() {
+        while let Some((now, step)) = self.events.pop() {
             match step {
                 Step::Arrive(number) => {
                     self.queue.insert((self.deadline(number), number));
                 }
                 Step::End(host, number, started) => {
-                    self.tally.hosts[host].end(started, now);
-                    self.tally
-                        .end(number, now + self.site.edge, Ending::Answered);
+                    self.result.hosts[host].end(started, now);
+                    self.result
+                        .end(number, now + self.site.caller_latency, Ending::Answered);
                 }
             }
             self.dispatch(now);
         }
-        self.tally
+        self.result
     }
 
-    // Latest end of the run.
+    // Latest time at which a host can finish a request so that its answer arrives in time.
     fn deadline(&self, number: usize) -> Time {
-        let arrival = &self.plan.arrivals[number];
-        arrival.at + self.site.mix[arrival.kind].deadline - self.site.edge
+        let arrival = &self.workload.arrivals[number];
+        arrival.at + self.site.mix[arrival.kind].deadline - self.site.caller_latency
     }
 
     fn dispatch(&mut self, now: Time) {
@@ -70,22 +73,26 @@
             let Some((deadline, number)) = self.queue.pop_first() else {
                 return;
             };
-            let length = self.tally.hosts[host].length(now, self.plan.arrivals[number].work);
-            if now + length > deadline {
+            let duration =
+                self.result.hosts[host].duration(now, self.workload.arrivals[number].work);
+            if now + duration > deadline {
                 let idle = false;
-                self.tally
-                    .end(number, now + self.site.edge, Ending::NotRun { idle });
+                self.result.end(
+                    number,
+                    now + self.site.caller_latency,
+                    Ending::NotRun { idle },
+                );
                 continue;
             }
-            self.tally.hosts[host].begin();
-            self.tally.runs += 1;
-            self.calendar
-                .add(now + length, Step::End(host, number, now));
+            self.result.hosts[host].begin();
+            self.result.runs += 1;
+            self.events
+                .add(now + duration, Step::End(host, number, now));
         }
     }
 
     fn fastest_free(&self) -> Option<usize> {
-        let hosts = self.tally.hosts.iter().enumerate();
+        let hosts = self.result.hosts.iter().enumerate();
         let free = hosts.filter(|(_, host)| host.has_free());
         free.max_by(|a, b| a.1.speed.total_cmp(&b.1.speed))
             .map(|(index, _)| index)
