--- a/crates/capacity/src/args.rs
+++ b/crates/capacity/src/args.rs
@@ -61,7 +61,7 @@
                 Ok(format!("{}\n", json!(point)))
             }
             Command::Fit(fit) => {
-                let points = read(io::stdin().lock())?;
+                let points = read_points(io::stdin().lock())?;
                 Ok(if fit.json {
                     format!("{:#}\n", lines_json(&points))
                 } else {
@@ -82,20 +82,21 @@
     text
 }
 
-fn read(input: impl BufRead) -> io::Result<Vec<Point>> {
+fn read_points(input: impl BufRead) -> io::Result<Vec<Point>> {
     input
         .lines()
         .map(|line| Ok(serde_json::from_str(&line?)?))
         .collect()
 }
 
-fn lines(points: &[Point]) -> IndexMap<(&str, &str), Line> {
+// Fits a line to each figure of each sweep, by the names of both.
+fn fit_lines(points: &[Point]) -> IndexMap<(&str, &str), Line> {
     let mut series: IndexMap<(&str, &str), Vec<(f64, f64)>> = IndexMap::new();
     for point in points {
         for (name, value) in &point.figures {
             let key = (point.sweep.as_str(), name.as_str());
-            let place = series.entry(key).or_default();
-            place.push((point.size as f64, *value));
+            let samples = series.entry(key).or_default();
+            samples.push((point.size as f64, *value));
         }
     }
     let fit = |(key, values): (_, Vec<_>)| Some((key, Line::fit(&values)?));
@@ -103,7 +104,7 @@
 }
 
 fn lines_json(points: &[Point]) -> serde_json::Value {
-    let fitted: Vec<_> = lines(points)
+    let fitted: Vec<_> = fit_lines(points)
         .into_iter()
         .map(|((sweep, figure), line)| json!({ "sweep": sweep, "figure": figure, "line": line }))
         .collect();
@@ -115,7 +116,7 @@
         "{:<15} {:<24} {:>14} {:>14} {:>9}  points\n",
         "SWEEP", "FIGURE", "INTERCEPT", "SLOPE", "RESIDUAL"
     );
-    for ((sweep, figure), line) in lines(points) {
+    for ((sweep, figure), line) in fit_lines(points) {
         let values: Vec<String> = points
             .iter()
             .filter(|point| point.sweep == sweep)
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,7 +1,7 @@
-//! Measures how memory, processor time and message sizes grow with the size of a deployment.
+//! Measures how memory, processor time and message sizes grow with a deployment.
 //!
-//! Each point runs in a process of its own, so that its resident memory starts from nothing;
-//! `scripts/capacity` runs all points and fits a line to each figure.
+//! Each point is measured in a process of its own, so that memory used by earlier points does not
+//! count. `scripts/capacity` measures all points and fits a line to each figure.
 
 mod args;
 mod line;
--- a/crates/capacity/src/meter.rs
+++ b/crates/capacity/src/meter.rs
@@ -4,28 +4,30 @@
 
 use rustix::time::{ClockId, clock_gettime};
 
-const NANOS: f64 = 1e9;
-// Medians of several batches are little affected by other load on the machine.
+const NANOS_PER_SECOND: f64 = 1e9;
+// Other load on the machine affects the median of several batches little.
 const BATCHES: usize = 5;
 
-/// Processor time of this thread in nanoseconds.
+/// Processor time that this thread has used, in nanoseconds.
 fn processor_nanos() -> f64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
-    time.tv_sec as f64 * NANOS + time.tv_nsec as f64
+    time.tv_sec as f64 * NANOS_PER_SECOND + time.tv_nsec as f64
 }
 
-/// Runs `body` once and returns its result and processor time in nanoseconds.
-pub(crate) fn once<T>(body: impl FnOnce() -> T) -> (T, f64) {
+/// Runs `body` once and returns its result and its processor time in nanoseconds.
+pub(crate) fn time_once<T>(body: impl FnOnce() -> T) -> (T, f64) {
     let start = processor_nanos();
     let result = body();
     (result, processor_nanos() - start)
 }
 
-/// Processor time of one call in nanoseconds: the median over batches of `count` calls.
-pub(crate) fn each<T>(count: usize, mut body: impl FnMut(usize) -> T) -> f64 {
+/// Measures the processor time of one call in nanoseconds.
+///
+/// It is the median over batches of `count` calls; each call gets a number of its own.
+pub(crate) fn time_each<T>(count: usize, mut body: impl FnMut(usize) -> T) -> f64 {
     let mut batches = [0.0; BATCHES];
     for (batch, nanos) in batches.iter_mut().enumerate() {
-        let ((), spent) = once(|| {
+        let ((), spent) = time_once(|| {
             for number in 0..count {
                 black_box(body(batch * count + number));
             }
@@ -37,7 +39,7 @@
 }
 
 /// Resident memory of this process in bytes.
-fn resident() -> io::Result<f64> {
+fn resident_bytes() -> io::Result<f64> {
     let status = fs::read_to_string("/proc/self/status")?;
     let kib = status
         .lines()
@@ -48,9 +50,9 @@
 }
 
 /// Runs `body` and returns its result and the growth of resident memory in bytes.
-pub(crate) fn grown<T>(body: impl FnOnce() -> T) -> io::Result<(T, f64)> {
-    let before = resident()?;
+pub(crate) fn memory_growth<T>(body: impl FnOnce() -> T) -> io::Result<(T, f64)> {
+    let before = resident_bytes()?;
     let result = body();
-    let after = resident()?;
+    let after = resident_bytes()?;
     Ok((result, after - before))
 }
--- a/crates/capacity/src/sample.rs
+++ b/crates/capacity/src/sample.rs
@@ -1,4 +1,4 @@
-//! Deterministic rosters, flows and objects of any size.
+//! Generated rosters, flows, objects and messages; the same arguments always give the same values.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -9,19 +9,22 @@
     Time, Version, Weight,
 };
 
-/// Data centres at the size of two years.
+/// Number of data centres in the deployment size expected in two years.
 pub(crate) const CENTRES: usize = 16;
-/// Start of all runs; later than every span of the protocol.
+/// Start of all measurements, later than every timeout and lease of the protocol.
 pub(crate) const START: Time = Time::from_micros(10_000_000_000);
 
-const EARLIER: u64 = 2;
+// Earlier rosters that a roster lists.
+const EARLIER_ROSTERS: u64 = 2;
+// First addresses, as numbers: 10.0.0.1, 192.168.0.1 and 11.0.0.1.
 const FIRST_HOST: u32 = 0x0a00_0001;
 const FIRST_SERVICE: u32 = 0xc0a8_0001;
 const FIRST_CALLER: u32 = 0x0b00_0001;
 const FLOWS_PER_ADDRESS: usize = 50_000;
 const AGENT_PORT: u16 = 7_000;
-// Milliseconds since 1970, the size that incarnations have in use.
+// Milliseconds since 1970, as incarnations are in use; a smaller number would be encoded shorter.
 const INCARNATION: Incarnation = Incarnation::new(1_790_000_000_000);
+// A version as large as in use, since smaller numbers are encoded shorter.
 const VERSION: u64 = 40_000_000;
 
 fn parse<T: std::str::FromStr<Err = E>, E: std::fmt::Display>(text: &str) -> T {
@@ -65,15 +68,17 @@
     (host(index), listed)
 }
 
-/// A member's host and entry, as a change of one member would carry them.
+/// The values that a message about the change of a single member would carry.
 pub(crate) fn member_change() -> (ServiceName, Version, HostId, Member) {
     let (host, member) = member(0);
     (service_name(0), Version::new(VERSION), host, member)
 }
 
-/// A roster of `size` hosts from `first` on, after two replacements of one host.
+/// A roster of `size` hosts from `first` on, with two earlier rosters.
+///
+/// The earlier rosters hold older incarnations of the same hosts.
 pub(crate) fn roster(first: usize, size: usize) -> Roster {
-    let earlier = (1..=EARLIER).map(|age| PastRoster {
+    let earlier = (1..=EARLIER_ROSTERS).map(|age| PastRoster {
         version: Version::new(VERSION - age),
         members: (0..size)
             .map(|place| member(first + place))
@@ -87,6 +92,7 @@
     }
 }
 
+// The same member with an incarnation that is `age` older.
 fn replaced(mut member: Member, age: u64) -> Member {
     member.incarnation = Incarnation::new(INCARNATION.get() - age);
     member
--- a/crates/capacity/src/sweep.rs
+++ b/crates/capacity/src/sweep.rs
@@ -6,32 +6,34 @@
 
 use crate::{Point, sweeps};
 
-/// What grows from point to point.
+/// A series of measurements, by the quantity that grows from point to point.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sweep {
-    /// Hosts of one service whose table ranks hosts for each packet.
+    /// Hosts of one service, so few that its table ranks them for each packet.
     SmallService,
-    /// Hosts of one service whose table is computed in advance.
+    /// Hosts of one service, so many that its table is computed in advance.
     LargeService,
-    /// Services of three hosts that a balancer knows.
+    /// Services, of three hosts each, that a balancer knows.
     Services,
     /// Flows that an agent holds and hints that a balancer holds.
     Flows,
-    /// Hosts whose heartbeats a balancer hears.
+    /// Hosts that send heartbeats to a balancer.
     Members,
     /// Balancers of a data centre.
     Fleet,
     /// Configuration changes to a fixed number of objects.
     Changes,
-    /// Keys that a ledger holds.
+    /// Request keys that a ledger holds.
     Records,
     /// Bytes of payload in a message.
     Payload,
 }
 
+// Measures the figures of one size and adds them to the point.
 type Measure = fn(usize, &mut Point) -> io::Result<()>;
 
-const TABLE: [(Sweep, &str, &[usize], Measure); 9] = [
+// Name, sizes and function of each sweep, in the order of the enum's variants.
+const SWEEPS: [(Sweep, &str, &[usize], Measure); 9] = [
     (
         Sweep::SmallService,
         "small-service",
@@ -89,12 +91,12 @@
 ];
 
 impl Sweep {
-    pub(crate) const ALL: [Self; TABLE.len()] = {
-        let mut all = [Self::SmallService; TABLE.len()];
-        let mut place = 0;
-        while place < TABLE.len() {
-            all[place] = TABLE[place].0;
-            place += 1;
+    pub(crate) const ALL: [Self; SWEEPS.len()] = {
+        let mut all = [Self::SmallService; SWEEPS.len()];
+        let mut index = 0;
+        while index < SWEEPS.len() {
+            all[index] = SWEEPS[index].0;
+            index += 1;
         }
         all
     };
@@ -119,7 +121,7 @@
     }
 
     fn row(self) -> &'static (Self, &'static str, &'static [usize], Measure) {
-        &TABLE[self as usize]
+        &SWEEPS[self as usize]
     }
 }
 
--- a/crates/capacity/src/sweeps/changes.rs
+++ b/crates/capacity/src/sweeps/changes.rs
@@ -5,17 +5,17 @@
 
 use crate::{Point, meter, sample};
 
-// Objects that the changes go to; their memory is there before the first measured change.
+// Services whose rosters change; all are in the cache before the first measured change.
 const SERVICES: usize = 1_000;
-const HOSTS: usize = 3;
-// Changes that a watcher misses in a second at 16 times the average rate.
-const MISSED: u64 = 10;
+const SERVICE_HOSTS: usize = 3;
+// Changes that a watcher misses in one second when changes come at 16 times the average rate.
+const MISSED_CHANGES: u64 = 10;
 const ROUNDS: usize = 200;
 
 pub(crate) fn measure(changes: usize, point: &mut Point) -> io::Result<()> {
     let mut cache = Cache::default();
     let mut adopt = |change: usize| {
-        let roster = sample::roster(change % SERVICES * HOSTS, HOSTS);
+        let roster = sample::roster(change % SERVICES * SERVICE_HOSTS, SERVICE_HOSTS);
         let name = sample::service_name(change % SERVICES);
         let version = change as u64 + 1;
         cache.adopt(sample::object(
@@ -28,8 +28,8 @@
     for change in 0..SERVICES {
         adopt(change);
     }
-    let (nanos, bytes) = meter::grown(|| {
-        let ((), nanos) = meter::once(|| {
+    let (nanos, bytes) = meter::memory_growth(|| {
+        let ((), nanos) = meter::time_once(|| {
             for change in SERVICES..SERVICES + changes {
                 adopt(change);
             }
@@ -38,8 +38,8 @@
     })?;
     point.set("cache_growth_bytes", bytes);
     point.set("build_and_adopt_us", nanos / changes as f64 / 1e3);
-    let after = Version::new((SERVICES + changes) as u64 - MISSED);
-    let resume = meter::each(ROUNDS, |_| cache.since(after).count());
+    let after = Version::new((SERVICES + changes) as u64 - MISSED_CHANGES);
+    let resume = meter::time_each(ROUNDS, |_| cache.since(after).count());
     point.set("resume_us", resume / 1e3);
     Ok(())
 }
--- a/crates/capacity/src/sweeps/flows.rs
+++ b/crates/capacity/src/sweeps/flows.rs
@@ -18,31 +18,31 @@
         earlier: Vec::new(),
         ..sample::roster(0, 1)
     };
-    let mut held = FlowTable::new(settings());
-    held.handle(sample::START, Event::Roster(Arc::new(roster)));
-    let (nanos, bytes) = meter::grown(|| open(&mut held, flows))?;
+    let mut flow_table = FlowTable::new(settings());
+    flow_table.handle(sample::START, Event::Roster(Arc::new(roster)));
+    let (nanos, bytes) = meter::memory_growth(|| open_flows(&mut flow_table, flows))?;
     point.set("held_bytes", bytes);
     point.set("open_ns", nanos / flows as f64);
-    point.set("held_flows", held.flows() as f64);
+    point.set("held_flows", flow_table.flows() as f64);
     let ack = Body::Ack {
         message: MessageId::new(1),
         index: 0,
     };
-    let serve = meter::each(PACKETS, |number| {
+    let packet_nanos = meter::time_each(PACKETS, |number| {
         let number = number * 7_919 % flows;
-        held.handle(
+        flow_table.handle(
             sample::START,
             relay(sample::packet(sample::flow(number, 0), ack.clone())),
         )
     });
-    point.set("packet_ns", serve);
+    point.set("packet_ns", packet_nanos);
     let mut now = sample::START;
-    let tick = meter::each(100, |_| {
+    let tick = meter::time_each(100, |_| {
         now = now + SECOND;
-        held.handle(now, Event::Tick)
+        flow_table.handle(now, Event::Tick)
     });
     point.set("idle_tick_us", tick / 1e3);
-    hints(flows, point)
+    measure_hints(flows, point)
 }
 
 fn settings() -> Settings {
@@ -56,12 +56,12 @@
     )
 }
 
-// Processor time of opening all flows, in nanoseconds.
-fn open(held: &mut FlowTable, flows: usize) -> f64 {
-    let ((), nanos) = meter::once(|| {
+// Opens all flows and returns the processor time in nanoseconds.
+fn open_flows(flow_table: &mut FlowTable, flows: usize) -> f64 {
+    let ((), nanos) = meter::time_once(|| {
         for index in 0..flows {
             let packet = sample::packet(sample::flow(index, 0), Body::Open);
-            held.handle(sample::START, relay(packet));
+            flow_table.handle(sample::START, relay(packet));
         }
     });
     nanos
@@ -81,8 +81,8 @@
     })
 }
 
-fn hints(flows: usize, point: &mut Point) -> io::Result<()> {
-    let (mut hints, bytes) = meter::grown(|| {
+fn measure_hints(flows: usize, point: &mut Point) -> io::Result<()> {
+    let (mut hints, bytes) = meter::memory_growth(|| {
         let mut hints = HintTable::new(flows);
         for index in 0..flows {
             hints.insert(sample::flow(index, 0), sample::agent(1));
@@ -92,7 +92,7 @@
     point.set("hints_bytes", bytes);
     let table = Arc::new(table(&sample::roster(0, 3)));
     let router = Router::new([(sample::service_address(0), table)]);
-    let route = meter::each(PACKETS, |number| {
+    let route = meter::time_each(PACKETS, |number| {
         let flow = sample::flow(number * 7_919 % flows, 0);
         router.forward(
             sample::packet(flow, Body::Open),
--- a/crates/capacity/src/sweeps/members.rs
+++ b/crates/capacity/src/sweeps/members.rs
@@ -8,24 +8,24 @@
 
 use crate::{Point, meter, sample};
 
-const HOSTS: usize = 3;
+const SERVICE_HOSTS: usize = 3;
 const BEATS: usize = 3_000;
 const TICKS: usize = 5;
 const SECOND: Span = Span::from_secs(1);
 
-// A single balancer of its data centre hears all hosts there.
+// The only balancer of a data centre gets the heartbeats of all hosts there.
 pub(crate) fn measure(members: usize, point: &mut Point) -> io::Result<()> {
-    let (mut balancer, bytes) = meter::grown(|| balancer(members))?;
+    let (mut balancer, bytes) = meter::memory_growth(|| balancer(members))?;
     point.set("membership_bytes", bytes);
     let mut now = sample::START;
-    let hear = meter::each(BEATS, |number| {
+    let beat_nanos = meter::time_each(BEATS, |number| {
         let from = number % members;
         let beat = sample::beat(from, now, 0);
         let source = sample::agent(from);
         balancer.handle(now, Event::Beat { source, beat })
     });
-    point.set("beat_us", hear / 1e3);
-    let tick = meter::each(TICKS, |_| {
+    point.set("beat_us", beat_nanos / 1e3);
+    let tick = meter::time_each(TICKS, |_| {
         now = now + SECOND;
         balancer.handle(now, Event::Tick)
     });
@@ -49,10 +49,10 @@
             fleet,
         },
     );
-    for index in 0..members / HOSTS {
+    for index in 0..members / SERVICE_HOSTS {
         let mut roster = Roster {
             earlier: Vec::new(),
-            ..sample::roster(index * HOSTS, HOSTS)
+            ..sample::roster(index * SERVICE_HOSTS, SERVICE_HOSTS)
         };
         for member in roster.members.values_mut() {
             member.centre = centre.clone();
--- a/crates/capacity/src/sweeps/mod.rs
+++ b/crates/capacity/src/sweeps/mod.rs
@@ -1,4 +1,4 @@
-//! One module for each quantity that grows.
+//! The measurements, one module for each quantity that grows.
 
 pub(crate) mod changes;
 pub(crate) mod fleet;
--- a/crates/capacity/src/sweeps/payload.rs
+++ b/crates/capacity/src/sweeps/payload.rs
@@ -11,7 +11,7 @@
 use crate::{Point, meter, sample};
 
 const ROUNDS: usize = 20_000;
-const MOST_SUSPECTS: usize = 32;
+const MAX_SUSPECTS: usize = 32;
 
 pub(crate) fn measure(bytes: usize, point: &mut Point) -> io::Result<()> {
     let payload = Payload::from(vec![b'x'; bytes]);
@@ -20,19 +20,19 @@
     point.set("packet_bytes", datagram.len() as f64);
     point.set(
         "packet_decode_ns",
-        meter::each(ROUNDS, |_| decode_packet(&datagram)),
+        meter::time_each(ROUNDS, |_| decode_packet(&datagram)),
     );
     let relay = relay(packet);
     let datagram = encode_message(&relay).map_err(io::Error::other)?;
     point.set(
         "relay_encode_ns",
-        meter::each(ROUNDS, |_| encode_message(&relay)),
+        meter::time_each(ROUNDS, |_| encode_message(&relay)),
     );
     point.set(
         "relay_decode_ns",
-        meter::each(ROUNDS, |_| decode_message(&datagram)),
+        meter::time_each(ROUNDS, |_| decode_message(&datagram)),
     );
-    let sized = [
+    let messages = [
         ("relay_bytes", relay),
         ("offer_bytes", offer(payload.clone())),
         (
@@ -45,11 +45,11 @@
         ),
         (
             "claim_bytes",
-            between(AgentMessage::Claim(claim(7, sample::START))),
+            agent_message(AgentMessage::Claim(claim(7, sample::START))),
         ),
         (
             "register_bytes",
-            between(AgentMessage::Register(register())),
+            agent_message(AgentMessage::Register(register())),
         ),
         (
             "hint_bytes",
@@ -64,18 +64,18 @@
         ),
         (
             "beat_suspects_bytes",
-            Message::Beat(sample::beat(7, sample::START, MOST_SUSPECTS)),
+            Message::Beat(sample::beat(7, sample::START, MAX_SUSPECTS)),
         ),
         (
             "beat_ack_bytes",
             Message::BeatAck(sample::beat_ack(7, sample::START)),
         ),
     ];
-    for (name, message) in sized {
+    for (name, message) in messages {
         let datagram = encode_message(&message).map_err(io::Error::other)?;
         point.set(name, datagram.len() as f64);
     }
-    // No message carries a single member yet; the size shows what one would take.
+    // No message carries a single member; the figure is the size that such a message would add.
     let change = postcard::to_stdvec(&sample::member_change()).map_err(io::Error::other)?;
     point.set("member_change_bytes", change.len() as f64);
     Ok(())
@@ -108,7 +108,7 @@
 }
 
 fn offer(body: Payload) -> Message {
-    between(AgentMessage::Offer(Offer {
+    agent_message(AgentMessage::Offer(Offer {
         id: RequestId {
             flow: sample::flow(7, 0),
             message: MessageId::new(3),
@@ -128,7 +128,7 @@
 }
 
 fn verdict(decision: Decision) -> Message {
-    between(AgentMessage::Verdict(Verdict {
+    agent_message(AgentMessage::Verdict(Verdict {
         key: RequestKey::new(u128::MAX / 3),
         sent: sample::START,
         decision,
@@ -143,7 +143,7 @@
     }
 }
 
-fn between(message: AgentMessage) -> Message {
+fn agent_message(message: AgentMessage) -> Message {
     Message::Agent {
         service: sample::service_name(0),
         generation: Generation::new(1),
--- a/crates/capacity/src/sweeps/records.rs
+++ b/crates/capacity/src/sweeps/records.rs
@@ -7,7 +7,7 @@
 use super::service::claim;
 use crate::{Point, meter, sample};
 
-// A short answer, as a booking has.
+// A short answer, as a booking request gets.
 const ANSWER: &[u8] = br#"{"service":"booking-desk","booking":"1234567890"}"#;
 
 pub(crate) fn measure(records: usize, point: &mut Point) -> io::Result<()> {
@@ -27,18 +27,18 @@
         complete: true,
     };
     ledger.handle(now, LedgerEvent::Roster(lineage));
-    let (nanos, bytes) = meter::grown(|| {
-        let ((), claims) = meter::once(|| {
+    let (nanos, bytes) = meter::memory_growth(|| {
+        let ((), claim_nanos) = meter::time_once(|| {
             for key in 0..records {
                 ledger.handle(now, LedgerEvent::Claim(claim(key, now)));
             }
         });
-        let ((), reports) = meter::once(|| {
+        let ((), complete_nanos) = meter::time_once(|| {
             for key in 0..records {
                 ledger.handle(now, LedgerEvent::Complete(complete(key)));
             }
         });
-        (claims, reports)
+        (claim_nanos, complete_nanos)
     })?;
     point.set("ledger_bytes", bytes);
     point.set("claim_ns", nanos.0 / records as f64);
--- a/crates/capacity/src/sweeps/service.rs
+++ b/crates/capacity/src/sweeps/service.rs
@@ -13,23 +13,23 @@
 
 use crate::{Point, meter, sample};
 
-// Tables of a point, so that their memory stands out from the rest of the process.
+// Copies of the table, enough that their memory stands out from that of the rest of the process.
 const SMALL_TABLES: usize = 10_000;
 const LARGE_TABLES: usize = 4;
-// Hosts from which a table of 4,096 buckets is computed in advance.
-const LARGE: usize = 64;
+// Number of hosts from which on a table of 4,096 buckets is computed in advance.
+const MIN_PRECOMPUTED: usize = 64;
 const PACKETS: usize = 20_000;
 const BEATS: usize = 2_000;
 const SECOND: Span = Span::from_secs(1);
 
 pub(crate) fn measure(hosts: usize, point: &mut Point) -> io::Result<()> {
     let roster = sample::roster(0, hosts);
-    let copies = if hosts < LARGE {
+    let copies = if hosts < MIN_PRECOMPUTED {
         SMALL_TABLES
     } else {
         LARGE_TABLES
     };
-    let (tables, bytes) = meter::grown(|| {
+    let (tables, bytes) = meter::memory_growth(|| {
         let tables: Vec<Table> = (0..copies).map(|_| table(&roster)).collect();
         tables
     })?;
@@ -37,14 +37,14 @@
     let rebuilds = (2_000 / hosts).max(1);
     point.set(
         "table_build_us",
-        meter::each(rebuilds, |_| table(&roster)) / 1e3,
+        meter::time_each(rebuilds, |_| table(&roster)) / 1e3,
     );
     let route = route(&tables[0]);
     point.set("route_ns", route);
     drop(tables);
-    encoded(&roster, point)?;
-    heartbeats(hosts, &roster, point);
-    leases(hosts, &roster, point);
+    measure_encoding(&roster, point)?;
+    measure_heartbeats(hosts, &roster, point);
+    measure_leases(hosts, &roster, point);
     Ok(())
 }
 
@@ -64,13 +64,13 @@
 fn route(table: &Table) -> f64 {
     let router = Router::new([(sample::service_address(0), Arc::new(table.clone()))]);
     let mut hints = HintTable::new(1_000);
-    meter::each(PACKETS, |number| {
+    meter::time_each(PACKETS, |number| {
         let packet = sample::packet(sample::flow(number, 0), Body::Open);
         router.forward(packet, &mut hints, sample::agent(0))
     })
 }
 
-fn encoded(roster: &Roster, point: &mut Point) -> io::Result<()> {
+fn measure_encoding(roster: &Roster, point: &mut Point) -> io::Result<()> {
     let value: Value = roster.clone().into();
     let json = usher_store::encode(&value)?;
     point.set("roster_json_bytes", json.len() as f64);
@@ -79,7 +79,7 @@
         usher_store::decode(Kind::Roster, json).ok()
     };
     let rounds = (2_000 / roster.members.len()).max(1);
-    point.set("roster_decode_us", meter::each(rounds, decode) / 1e3);
+    point.set("roster_decode_us", meter::time_each(rounds, decode) / 1e3);
     let mut current = roster.clone();
     current.earlier.clear();
     let json = usher_store::encode(&current.into())?;
@@ -87,8 +87,8 @@
     Ok(())
 }
 
-// An agent hears all other members of its service once a second and sends to all of them.
-fn heartbeats(hosts: usize, roster: &Roster, point: &mut Point) {
+// Each second, an agent gets heartbeats from all other members of its service and sends its own.
+fn measure_heartbeats(hosts: usize, roster: &Roster, point: &mut Point) {
     let identity = Identity::Agent {
         host: sample::host(0),
         service: sample::service_name(0),
@@ -115,26 +115,26 @@
         },
     );
     let mut number = 0;
-    let hear = meter::each(BEATS, |_| {
+    let beat_nanos = meter::time_each(BEATS, |_| {
         number = number % (hosts - 1) + 1;
-        agent.handle(now, heard(number, now))
+        agent.handle(now, beat_event(number, now))
     });
-    point.set("agent_beat_us", hear / 1e3);
-    let tick = meter::each((BEATS / hosts).max(2), |_| {
+    point.set("agent_beat_us", beat_nanos / 1e3);
+    let tick = meter::time_each((BEATS / hosts).max(2), |_| {
         now = now + SECOND;
         agent.handle(now, Event::Tick)
     });
     point.set("agent_tick_us", tick / 1e3);
 }
 
-fn heard(from: usize, now: Time) -> Event {
+fn beat_event(from: usize, now: Time) -> Event {
     Event::Beat {
         source: sample::agent(from),
         beat: sample::beat(from, now, 0),
     }
 }
 
-fn leases(hosts: usize, roster: &Roster, point: &mut Point) {
+fn measure_leases(hosts: usize, roster: &Roster, point: &mut Point) {
     let agent = Agent {
         host: sample::host(0),
         incarnation: roster.members[0].incarnation,
@@ -151,21 +151,21 @@
     };
     ledger.handle(now, LedgerEvent::Roster(lineage));
     let mut number = 0;
-    let renew = meter::each(BEATS, |_| {
+    let renewal_nanos = meter::time_each(BEATS, |_| {
         number = number % (hosts - 1) + 1;
         ledger.handle(now, LedgerEvent::Ack(sample::beat_ack(number, now)))
     });
-    point.set("lease_renewal_us", renew / 1e3);
-    let claim = meter::each(BEATS, |key| {
+    point.set("lease_renewal_us", renewal_nanos / 1e3);
+    let claim = meter::time_each(BEATS, |key| {
         ledger.handle(now, LedgerEvent::Claim(claim(key, now)))
     });
     point.set("claim_us", claim / 1e3);
 }
 
-/// The first claim of a key.
+/// Builds the first claim of a key.
 pub(crate) fn claim(key: usize, now: Time) -> Claim {
     Claim {
-        // Keys of callers are random, so their bytes are spread like those of a hash.
+        // Callers choose random keys; the multiplication spreads these over all values alike.
         key: RequestKey::new(
             (key as u128 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835),
         ),
--- a/crates/capacity/src/sweeps/services.rs
+++ b/crates/capacity/src/sweeps/services.rs
@@ -11,26 +11,26 @@
 use super::service::table;
 use crate::{Point, meter, sample};
 
-const HOSTS: usize = 3;
+const SERVICE_HOSTS: usize = 3;
 const PACKETS: usize = 20_000;
 const TICKS: usize = 3;
 const ROUNDS: usize = 3;
 const SECOND: Span = Span::from_secs(1);
-// Balancers of a data centre: 11,000 nodes in 16 data centres.
-const BALANCERS: usize = 688;
+// Balancers of one data centre: 11,000 nodes in 16 data centres.
+const CENTRE_BALANCERS: usize = 688;
 
 pub(crate) fn measure(services: usize, point: &mut Point) -> io::Result<()> {
-    let (cache, bytes) = meter::grown(|| cache(services))?;
+    let (cache, bytes) = meter::memory_growth(|| cache(services))?;
     point.set("cache_bytes", bytes);
-    let (tables, bytes) = meter::grown(|| tables(services))?;
+    let (tables, bytes) = meter::memory_growth(|| tables(services))?;
     point.set("tables_bytes", bytes);
-    let (membership, bytes) = meter::grown(|| membership(services))?;
+    let (membership, bytes) = meter::memory_growth(|| membership(services))?;
     point.set("membership_bytes", bytes);
-    let (router, bytes) = meter::grown(|| router(&tables))?;
+    let (router, bytes) = meter::memory_growth(|| router(&tables))?;
     point.set("router_bytes", bytes);
     point.set(
         "publish_us",
-        meter::each(ROUNDS, |_| router_of(&cache, &tables)) / 1e3,
+        meter::time_each(ROUNDS, |_| router_from_cache(&cache, &tables)) / 1e3,
     );
     point.set("route_ns", route(services, &router));
     point.set("tick_us", tick(membership) / 1e3);
@@ -47,7 +47,7 @@
     for index in 0..services {
         let version = index as u64 * 2 + 1;
         cache.adopt(sample::service_object(index, version));
-        let roster = sample::roster(index * HOSTS, HOSTS);
+        let roster = sample::roster(index * SERVICE_HOSTS, SERVICE_HOSTS);
         let name = sample::service_name(index);
         cache.adopt(sample::object(
             Kind::Roster,
@@ -61,7 +61,7 @@
 
 fn tables(services: usize) -> Vec<Arc<Table>> {
     (0..services)
-        .map(|index| Arc::new(table(&sample::roster(index * HOSTS, HOSTS))))
+        .map(|index| Arc::new(table(&sample::roster(index * SERVICE_HOSTS, SERVICE_HOSTS))))
         .collect()
 }
 
@@ -70,8 +70,9 @@
     Router::new(addressed.map(|(index, table)| (sample::service_address(index), Arc::clone(table))))
 }
 
-// As the balancer's control thread does after each change: names are parsed, tables are shared.
-fn router_of(cache: &Cache, tables: &[Arc<Table>]) -> Router {
+// Does what the balancer's control thread does after each change: it parses the names of all
+// services and shares their tables.
+fn router_from_cache(cache: &Cache, tables: &[Arc<Table>]) -> Router {
     let names = cache.list(Kind::Service).enumerate();
     let addressed = names.filter_map(|(index, object)| {
         let _: ServiceName = object.name.as_str().parse().ok()?;
@@ -88,10 +89,10 @@
     };
     let mut membership = Membership::new(identity, Box::new(Pcg64::seed_from_u64(1)));
     let centre = sample::centre(0);
-    let fleet = Arc::new(sample::fleet(BALANCERS));
+    let fleet = Arc::new(sample::fleet(CENTRE_BALANCERS));
     membership.handle(sample::START, Event::Fleet { centre, fleet });
     for index in 0..services {
-        let roster = Arc::new(sample::roster(index * HOSTS, HOSTS));
+        let roster = Arc::new(sample::roster(index * SERVICE_HOSTS, SERVICE_HOSTS));
         let service = sample::service_name(index);
         membership.handle(sample::START, Event::Roster { service, roster });
     }
@@ -100,7 +101,7 @@
 
 fn route(services: usize, router: &Router) -> f64 {
     let mut hints = HintTable::new(1_000);
-    meter::each(PACKETS, |number| {
+    meter::time_each(PACKETS, |number| {
         let flow = sample::flow(number, number * 7_919 % services);
         let packet = sample::packet(flow, Body::Open);
         router.forward(packet, &mut hints, sample::agent(0))
@@ -109,7 +110,7 @@
 
 fn tick(mut membership: Membership) -> f64 {
     let mut now = sample::START;
-    meter::each(TICKS, |_| {
+    meter::time_each(TICKS, |_| {
         now = now + SECOND;
         membership.handle(now, Event::Tick)
     })
