--- a/crates/forwarding/src/in_force.rs
+++ b/crates/forwarding/src/active_configuration.rs
@@ -7,19 +7,19 @@
 /// The active configuration; it is never replaced by an older version.
 ///
 /// ```
-/// use usher_forwarding::{Configuration, InForce};
+/// use usher_forwarding::{Configuration, ActiveConfiguration};
 /// use usher_types::Version;
-/// let mut in_force = InForce::default();
+/// let mut active_configuration = ActiveConfiguration::default();
 /// let version = Version::new(5);
-/// assert!(in_force.adopt(Configuration { version, ..Configuration::default() }));
-/// assert!(!in_force.adopt(Configuration { version, ..Configuration::default() }));
+/// assert!(active_configuration.adopt(Configuration { version, ..Configuration::default() }));
+/// assert!(!active_configuration.adopt(Configuration { version, ..Configuration::default() }));
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct InForce {
+pub struct ActiveConfiguration {
     current: Arc<Configuration>,
 }
 
-impl InForce {
+impl ActiveConfiguration {
     /// Activates a configuration if it is newer; returns whether it was.
     pub fn adopt(&mut self, offered: Configuration) -> bool {
         let newer = offered.version > self.current.version;
--- a/crates/forwarding/src/agent/decision.rs
+++ b/crates/forwarding/src/agent/decision.rs
@@ -1,19 +1,19 @@
 use usher_types::Span;
 
-use crate::{FlowKey, NodeId, Trip};
+use crate::{FlowKey, ForwardHeader, NodeId};
 
 /// An agent's decision about a packet from a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Inbound {
     /// Where the packet goes.
-    pub step: Step,
+    pub action: InboundAction,
     /// Balancer to notify that this agent's backend server holds the flow.
-    pub tell: Option<NodeId>,
+    pub notify: Option<NodeId>,
 }
 
 /// What an agent does with a packet from a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
+pub enum InboundAction {
     /// Deliver to the backend server, which echoes the token if it returns the packet.
     Deliver {
         /// Value to write into the packet; 0 if the packet cannot be returned.
@@ -25,8 +25,8 @@
     Forward {
         /// The agent.
         to: NodeId,
-        /// The trip to send with the packet.
-        trip: Trip,
+        /// The forward header to send with the packet.
+        forward_header: ForwardHeader,
         /// Why the packet was not delivered here.
         reason: ForwardReason,
     },
@@ -39,7 +39,7 @@
         /// Shortest expected wait of the agents that were asked.
         wait: Option<Span>,
     },
-    /// Notify the balancer that no agent of the trip holds the flow.
+    /// Notify the balancer that no candidate holds the flow.
     Missing {
         /// The flow.
         flow: FlowKey,
@@ -103,5 +103,5 @@
         work: Option<Span>,
     },
     /// A returned packet of the caller, which is decided on again.
-    Inward(Inbound),
+    Returned(Inbound),
 }
--- a/crates/forwarding/src/agent/entry.rs
+++ b/crates/forwarding/src/agent/entry.rs
@@ -1,6 +1,6 @@
 use usher_types::{Span, Time};
 
-use crate::Head;
+use crate::PacketHeader;
 
 // A caller completes the handshake within a round trip of a few milliseconds. One that has given up
 // does not, and must not occupy a slot.
@@ -54,27 +54,27 @@
     }
 
     /// Records a packet from the caller.
-    pub(crate) fn on_caller(&mut self, now: Time, head: &Head) {
+    pub(crate) fn on_caller(&mut self, now: Time, packet_header: &PacketHeader) {
         self.last_seen = now;
-        if head.flags.acknowledging {
-            self.received = Some(head.acknowledged);
+        if packet_header.flags.acknowledging {
+            self.received = Some(packet_header.acknowledged);
         }
-        if head.data > 0 {
+        if packet_header.data > 0 {
             if !self.requested {
                 self.busy_since = Some(now);
             }
             self.requested = true;
         }
-        self.caller_finished |= head.flags.finishing;
-        self.close_if_finished(head);
+        self.caller_finished |= packet_header.flags.finishing;
+        self.close_if_finished(packet_header);
     }
 
     /// Records a packet from the backend server.
     ///
     /// Returns the start of the request that the packet answers.
-    pub(crate) fn on_host(&mut self, now: Time, head: &Head) -> Option<Time> {
+    pub(crate) fn on_host(&mut self, now: Time, packet_header: &PacketHeader) -> Option<Time> {
         self.last_seen = now;
-        if head.flags.opening {
+        if packet_header.flags.opening {
             if self.phase == Phase::Opening {
                 self.phase = Phase::Answered;
             }
@@ -83,9 +83,11 @@
         if matches!(self.phase, Phase::Opening | Phase::Answered) {
             self.phase = Phase::Open;
         }
-        self.host_finished |= head.flags.finishing;
-        self.close_if_finished(head);
-        let answered = head.data > 0 || head.flags.finishing || head.flags.resetting;
+        self.host_finished |= packet_header.flags.finishing;
+        self.close_if_finished(packet_header);
+        let answered = packet_header.data > 0
+            || packet_header.flags.finishing
+            || packet_header.flags.resetting;
         let requested = self.requested;
         self.requested &= !answered;
         self.busy_since.take_if(|_| answered).filter(|_| requested)
@@ -120,8 +122,8 @@
         self.busy_since.is_some_and(|start| now - start < limit)
     }
 
-    fn close_if_finished(&mut self, head: &Head) {
-        if head.flags.resetting || (self.caller_finished && self.host_finished) {
+    fn close_if_finished(&mut self, packet_header: &PacketHeader) {
+        if packet_header.flags.resetting || (self.caller_finished && self.host_finished) {
             self.phase = Phase::Closed;
             self.busy_since = None;
         }
--- a/crates/forwarding/src/agent/forward.rs
+++ b/crates/forwarding/src/agent/forward.rs
@@ -1,8 +1,8 @@
 use usher_types::Span;
 
-use super::decision::{ForwardReason, Inbound, Release, Step};
-use crate::trip::Best;
-use crate::{FlowKey, Head, Trip};
+use super::decision::{ForwardReason, Inbound, InboundAction, Release};
+use crate::forward_header::ShortestQueue;
+use crate::{FlowKey, ForwardHeader, PacketHeader};
 
 /// Forwards an opening packet to the next candidate.
 ///
@@ -10,62 +10,81 @@
 /// wait exceeds `max_wait`.
 pub(crate) fn route_opening(
     flow: FlowKey,
-    trip: &Trip,
-    own: Option<Best>,
+    forward_header: &ForwardHeader,
+    own: Option<ShortestQueue>,
     max_wait: Span,
     reason: ForwardReason,
 ) -> Inbound {
-    let tell = None;
-    let best = [trip.best, own]
+    let notify = None;
+    let shortest = [forward_header.shortest, own]
         .into_iter()
         .flatten()
-        .min_by_key(|best| best.wait);
-    if let Some((to, next)) = trip.next().filter(|_| !trip.last) {
-        let trip = Trip { best, ..next };
-        let step = Step::Forward { to, trip, reason };
-        return Inbound { step, tell };
+        .min_by_key(|shortest| shortest.wait);
+    if let Some((to, next)) = forward_header.next().filter(|_| !forward_header.is_final) {
+        let forward_header = ForwardHeader { shortest, ..next };
+        let action = InboundAction::Forward {
+            to,
+            forward_header,
+            reason,
+        };
+        return Inbound { action, notify };
     }
-    let step = match best.filter(|best| !trip.last && best.wait <= max_wait) {
-        Some(best) => Step::Forward {
-            to: best.node,
-            trip: Trip {
-                best: None,
-                last: true,
-                ..*trip
+    let action =
+        match shortest.filter(|shortest| !forward_header.is_final && shortest.wait <= max_wait) {
+            Some(shortest) => InboundAction::Forward {
+                to: shortest.node,
+                forward_header: ForwardHeader {
+                    shortest: None,
+                    is_final: true,
+                    ..*forward_header
+                },
+                reason,
             },
-            reason,
-        },
-        None => Step::Refuse {
-            flow,
-            received: 0,
-            wait: best.map(|best| best.wait),
-        },
-    };
-    Inbound { step, tell }
+            None => InboundAction::Refuse {
+                flow,
+                received: 0,
+                wait: shortest.map(|shortest| shortest.wait),
+            },
+        };
+    Inbound { action, notify }
 }
 
 /// Forwards a packet of an established flow to the next candidate.
-pub(crate) fn route_established(head: &Head, trip: &Trip, reason: ForwardReason) -> Inbound {
-    let step = match trip.next() {
-        Some((to, trip)) => Step::Forward { to, trip, reason },
-        None => Step::Missing {
-            flow: head.inbound(),
-            origin: trip.origin,
-            received: head.acknowledged,
+pub(crate) fn route_established(
+    packet_header: &PacketHeader,
+    forward_header: &ForwardHeader,
+    reason: ForwardReason,
+) -> Inbound {
+    let action = match forward_header.next() {
+        Some((to, forward_header)) => InboundAction::Forward {
+            to,
+            forward_header,
+            reason,
+        },
+        None => InboundAction::Missing {
+            flow: packet_header.inbound(),
+            origin: forward_header.origin,
+            received: packet_header.acknowledged,
         },
     };
-    Inbound { step, tell: None }
+    Inbound {
+        action,
+        notify: None,
+    }
 }
 
 /// Refuses a queued flow.
 pub(crate) fn refuse_queued(flow: FlowKey) -> Release {
-    let step = Step::Refuse {
+    let action = InboundAction::Refuse {
         flow,
         received: 0,
         wait: None,
     };
     Release {
         flow,
-        inbound: Inbound { step, tell: None },
+        inbound: Inbound {
+            action,
+            notify: None,
+        },
     }
 }
--- a/crates/forwarding/src/agent/path.rs
+++ b/crates/forwarding/src/agent/forwarder.rs
@@ -1,15 +1,17 @@
 use usher_types::{Slots, Span, Time};
 
-use super::decision::{ForwardReason, Inbound, Outbound, Release, Step};
+use super::decision::{ForwardReason, Inbound, InboundAction, Outbound, Release};
 use super::entry::{Entry, Phase};
 use super::flow_table::FlowTable;
 use super::forward::{refuse_queued, route_established, route_opening};
 use super::host_monitor::HostMonitor;
-use super::lifecycle::{Heard, HostLifecycle};
+use super::lifecycle::{HeartbeatEffect, HostLifecycle};
 use super::pending_deliveries::PendingDeliveries;
 use super::wait_queue::WaitQueue;
-use crate::trip::Best;
-use crate::{FlowKey, Head, HostState, HostWord, Load, NodeId, ServiceKey, Trip};
+use crate::forward_header::ShortestQueue;
+use crate::{
+    FlowKey, ForwardHeader, HostHeartbeat, HostState, Load, NodeId, PacketHeader, ServiceKey,
+};
 
 // Requests beyond the slots that a backend server gets while other hosts may be free. The next
 // request then starts without waiting for the caller's part of the handshake.
@@ -25,7 +27,7 @@
 
 /// The forwarding decisions of one agent. Performs no I/O.
 #[derive(Debug, Clone)]
-pub struct AgentPath {
+pub struct AgentForwarder {
     node: NodeId,
     service: ServiceKey,
     service_name: String,
@@ -41,13 +43,14 @@
     complete_at: Time,
 }
 
-impl AgentPath {
+impl AgentForwarder {
     /// Creates an agent; flows that exist at `now` end within `flow_life`.
     ///
     /// ```
-    /// use usher_forwarding::{AgentPath, HostState};
+    /// use usher_forwarding::{AgentForwarder, HostState};
     /// use usher_types::{Span, Time};
-    /// let agent = AgentPath::new("10.1.0.13".parse()?, "namedesk", Time::ZERO, Span::from_secs(60));
+    /// let life = Span::from_secs(60);
+    /// let agent = AgentForwarder::new("10.1.0.13".parse()?, "namedesk", Time::ZERO, life);
     /// assert_eq!(agent.state(), HostState::Unheard);
     /// # Ok::<(), std::net::AddrParseError>(())
     /// ```
@@ -69,27 +72,31 @@
 
     /// Applies a heartbeat. With `Started`, also returns the flows that were lost with earlier
     /// processes, each with the position up to which its caller has received.
-    pub fn hear(&mut self, now: Time, word: HostWord) -> (Heard, Vec<(FlowKey, u32)>) {
-        if word.service != self.service_name {
-            return (Heard::Foreign, Vec::new());
+    pub fn on_heartbeat(
+        &mut self,
+        now: Time,
+        heartbeat: HostHeartbeat,
+    ) -> (HeartbeatEffect, Vec<(FlowKey, u32)>) {
+        if heartbeat.service != self.service_name {
+            return (HeartbeatEffect::Foreign, Vec::new());
         }
-        let first = self.lifecycle.word().is_none();
-        let heard = self
+        let first = self.lifecycle.heartbeat().is_none();
+        let effect = self
             .lifecycle
-            .on_heartbeat(word, now - self.heard_at > HEARTBEAT_TIMEOUT);
-        if heard != Heard::Late {
+            .on_heartbeat(heartbeat, now - self.heard_at > HEARTBEAT_TIMEOUT);
+        if effect != HeartbeatEffect::Late {
             self.heard_at = now;
         }
         let mut lost_flows = Vec::new();
-        if heard == Heard::Started && !first {
+        if effect == HeartbeatEffect::Started && !first {
             self.monitor.reset();
             lost_flows = self.flows.clear_before(now - FIRST_HEARTBEAT_DELAY);
         }
-        (heard, lost_flows)
+        (effect, lost_flows)
     }
 
-    /// Ends the backend server `id`; returns its lost flows as `hear` does.
-    pub fn leave(&mut self, now: Time, id: &str) -> Option<Vec<(FlowKey, u32)>> {
+    /// Ends the backend server `id`; returns its lost flows as `on_heartbeat` does.
+    pub fn on_leave(&mut self, now: Time, id: &str) -> Option<Vec<(FlowKey, u32)>> {
         if !self.lifecycle.on_leave(id) {
             return None;
         }
@@ -103,54 +110,62 @@
     }
 
     /// Decides on a packet from a balancer or another agent.
-    pub fn on_packet(&mut self, now: Time, head: &Head, trip: &Trip) -> Inbound {
-        let flow = head.inbound();
+    pub fn on_packet(
+        &mut self,
+        now: Time,
+        packet_header: &PacketHeader,
+        forward_header: &ForwardHeader,
+    ) -> Inbound {
+        let flow = packet_header.inbound();
         if let Some(entry) = self.flows.get_mut(&flow) {
-            entry.on_caller(now, head);
+            entry.on_caller(now, packet_header);
             let settled = matches!(entry.phase, Phase::Open | Phase::Closed);
             let token = if settled {
                 0
             } else {
-                self.deliveries.issue_token(flow, *trip)
+                self.deliveries.issue_token(flow, *forward_header)
             };
-            let step = Step::Deliver {
+            let action = InboundAction::Deliver {
                 token,
                 opening: false,
             };
-            return self.with_notice(step, trip);
+            return self.with_notice(action, forward_header);
         }
-        if head.opens() {
-            return self.on_opening(now, flow, trip);
+        if packet_header.opens() {
+            return self.on_opening(now, flow, forward_header);
         }
         let known = now >= self.complete_at || self.lifecycle.state() == HostState::Ended;
         if known {
-            return route_established(head, trip, ForwardReason::NotHeld);
+            return route_established(packet_header, forward_header, ForwardReason::NotHeld);
         }
-        let token = self.deliveries.issue_token(flow, *trip);
-        let step = Step::Deliver {
+        let token = self.deliveries.issue_token(flow, *forward_header);
+        let action = InboundAction::Deliver {
             token,
             opening: false,
         };
-        Inbound { step, tell: None }
+        Inbound {
+            action,
+            notify: None,
+        }
     }
 
     /// Decides on a packet from the backend server.
-    pub fn on_host_packet(&mut self, now: Time, head: &Head) -> Outbound {
-        if head.flags.returned {
-            return Outbound::Inward(self.on_returned(now, head));
+    pub fn on_host_packet(&mut self, now: Time, packet_header: &PacketHeader) -> Outbound {
+        if packet_header.flags.returned {
+            return Outbound::Returned(self.on_returned(now, packet_header));
         }
         self.monitor.host_responded();
-        let flow = head.outbound();
+        let flow = packet_header.outbound();
         let Some(entry) = self.flows.get_mut(&flow) else {
-            let answers_opening = head.flags.opening;
-            if !answers_opening && !head.flags.resetting {
+            let answers_opening = packet_header.flags.opening;
+            if !answers_opening && !packet_header.flags.resetting {
                 self.flows.insert(flow, Entry::new(now, Phase::Open));
             }
             return Outbound::ToCaller { work: None };
         };
-        let answered = entry.on_host(now, head);
+        let answered = entry.on_host(now, packet_header);
         let work = answered
-            .filter(|_| !head.flags.resetting)
+            .filter(|_| !packet_header.flags.resetting)
             .map(|start| now - start);
         if let Some(work) = work {
             self.monitor.record_work(work);
@@ -167,8 +182,8 @@
     }
 
     /// The latest heartbeat of the backend server.
-    pub fn word(&self) -> Option<&HostWord> {
-        self.lifecycle.word()
+    pub fn heartbeat(&self) -> Option<&HostHeartbeat> {
+        self.lifecycle.heartbeat()
     }
 
     /// Load of the backend server, including queued flows.
@@ -193,7 +208,7 @@
             }
             released.push(Release {
                 flow: queued.flow,
-                inbound: self.admit(now, queued.flow, &queued.trip),
+                inbound: self.admit(now, queued.flow, &queued.header),
             });
         }
         released
@@ -214,45 +229,63 @@
         self.flows.expire(now, idle);
     }
 
-    fn on_opening(&mut self, now: Time, flow: FlowKey, trip: &Trip) -> Inbound {
-        if trip.service != self.service {
-            return self.forward_opening(now, flow, trip, None, ForwardReason::OtherService);
+    fn on_opening(&mut self, now: Time, flow: FlowKey, forward_header: &ForwardHeader) -> Inbound {
+        if forward_header.service != self.service {
+            return self.forward_opening(
+                now,
+                flow,
+                forward_header,
+                None,
+                ForwardReason::OtherService,
+            );
         }
         if self.state() != HostState::Serving {
-            return self.forward_opening(now, flow, trip, None, ForwardReason::NotServing);
+            return self.forward_opening(
+                now,
+                flow,
+                forward_header,
+                None,
+                ForwardReason::NotServing,
+            );
         }
         if self.wait_queue.contains(&flow) {
             return Inbound {
-                step: Step::Drop,
-                tell: None,
+                action: InboundAction::Drop,
+                notify: None,
             };
         }
-        if !trip.last && self.monitor.is_silent(now) {
-            return self.forward_opening(now, flow, trip, None, ForwardReason::Silent);
+        if !forward_header.is_final && self.monitor.is_silent(now) {
+            return self.forward_opening(now, flow, forward_header, None, ForwardReason::Silent);
         }
         if self.wait_queue.len() == 0 && self.has_room(now, EXTRA_REQUESTS) {
-            return self.admit(now, flow, trip);
+            return self.admit(now, flow, forward_header);
         }
-        let wait = self.wait(now, trip.rank);
-        if !trip.last {
-            return self.forward_opening(now, flow, trip, Some(wait), ForwardReason::Busy);
+        let wait = self.wait(now, forward_header.rank);
+        if !forward_header.is_final {
+            return self.forward_opening(
+                now,
+                flow,
+                forward_header,
+                Some(wait),
+                ForwardReason::Busy,
+            );
         }
         if self.wait_queue.len() == 0 && self.has_room(now, EXTRA_REQUESTS_BUSY) {
-            return self.admit(now, flow, trip);
+            return self.admit(now, flow, forward_header);
         }
-        let tell = None;
-        let max_wait = self.max_wait(now, trip);
+        let notify = None;
+        let max_wait = self.max_wait(now, forward_header);
         if wait > max_wait || self.wait_queue.is_full() {
-            let step = Step::Refuse {
+            let action = InboundAction::Refuse {
                 flow,
                 received: 0,
                 wait: Some(wait),
             };
-            return Inbound { step, tell };
+            return Inbound { action, notify };
         }
-        self.wait_queue.push(now, flow, *trip, max_wait);
+        self.wait_queue.push(now, flow, *forward_header, max_wait);
         // Copies of the packet have to be sent here too, or the flow would open twice.
-        self.with_notice(Step::Hold, trip)
+        self.with_notice(InboundAction::Hold, forward_header)
     }
 
     // Expected time until a new flow of this rank gets a slot.
@@ -265,23 +298,29 @@
         &self,
         now: Time,
         flow: FlowKey,
-        trip: &Trip,
+        forward_header: &ForwardHeader,
         wait: Option<Span>,
         reason: ForwardReason,
     ) -> Inbound {
         let node = self.node;
-        let own = wait.map(|wait| Best { node, wait });
-        route_opening(flow, trip, own, self.max_wait(now, trip), reason)
+        let own = wait.map(|wait| ShortestQueue { node, wait });
+        route_opening(
+            flow,
+            forward_header,
+            own,
+            self.max_wait(now, forward_header),
+            reason,
+        )
     }
 
-    fn max_wait(&self, now: Time, trip: &Trip) -> Span {
-        WaitQueue::max_wait(trip, self.load(now).work())
+    fn max_wait(&self, now: Time, forward_header: &ForwardHeader) -> Span {
+        WaitQueue::max_wait(forward_header, self.load(now).work())
     }
 
     fn slots(&self) -> Slots {
         self.lifecycle
-            .word()
-            .map_or(Slots::new(1), |word| word.slots)
+            .heartbeat()
+            .map_or(Slots::new(1), |heartbeat| heartbeat.slots)
     }
 
     // Whether the backend server has a slot free, or will have one by the end of a handshake.
@@ -290,45 +329,49 @@
         self.flows.working(now) < room && !self.monitor.is_full(now)
     }
 
-    fn admit(&mut self, now: Time, flow: FlowKey, trip: &Trip) -> Inbound {
+    fn admit(&mut self, now: Time, flow: FlowKey, forward_header: &ForwardHeader) -> Inbound {
         self.flows.insert(flow, Entry::new(now, Phase::Opening));
         self.monitor.delivered_opening(now);
-        let token = self.deliveries.issue_token(flow, *trip);
-        let step = Step::Deliver {
+        let token = self.deliveries.issue_token(flow, *forward_header);
+        let action = InboundAction::Deliver {
             token,
             opening: true,
         };
-        self.with_notice(step, trip)
+        self.with_notice(action, forward_header)
     }
 
-    fn on_returned(&mut self, now: Time, head: &Head) -> Inbound {
-        let flow = head.inbound();
-        let Some(trip) = self.deliveries.take_trip(&flow, head.token) else {
+    fn on_returned(&mut self, now: Time, packet_header: &PacketHeader) -> Inbound {
+        let flow = packet_header.inbound();
+        let Some(forward_header) = self.deliveries.take_header(&flow, packet_header.token) else {
             // An open flow is lost with the process that held it.
             let lost = self
                 .flows
                 .remove(&flow)
                 .filter(|entry| entry.phase == Phase::Open);
-            let step = lost.map_or(Step::Drop, |entry| Step::Refuse {
+            let action = lost.map_or(InboundAction::Drop, |entry| InboundAction::Refuse {
                 flow,
                 received: entry.received(),
                 wait: None,
             });
-            return Inbound { step, tell: None };
+            return Inbound {
+                action,
+                notify: None,
+            };
         };
         self.flows.remove(&flow);
-        if head.opens() {
+        if packet_header.opens() {
             self.monitor.host_responded();
             self.monitor.returned_opening(now);
-            return self.forward_opening(now, flow, &trip, None, ForwardReason::Returned);
+            return self.forward_opening(now, flow, &forward_header, None, ForwardReason::Returned);
         }
-        route_established(head, &trip, ForwardReason::Returned)
+        route_established(packet_header, &forward_header, ForwardReason::Returned)
     }
 
     // Notifies the balancer where the flow is, unless this agent is the first candidate.
-    fn with_notice(&self, step: Step, trip: &Trip) -> Inbound {
-        let first = trip.candidates.as_slice().first() == Some(&self.node);
-        let tell = (!first && trip.origin != NodeId::NONE).then_some(trip.origin);
-        Inbound { step, tell }
+    fn with_notice(&self, action: InboundAction, forward_header: &ForwardHeader) -> Inbound {
+        let first = forward_header.candidates.as_slice().first() == Some(&self.node);
+        let notify =
+            (!first && forward_header.origin != NodeId::NONE).then_some(forward_header.origin);
+        Inbound { action, notify }
     }
 }
--- a/crates/forwarding/src/agent/host.rs
+++ b/crates/forwarding/src/agent/host.rs
@@ -1,4 +1,4 @@
-use crate::HostWord;
+use crate::HostHeartbeat;
 
 /// The backend server on the agent's host, in one state of its life cycle.
 ///
@@ -6,7 +6,7 @@
 /// that has sent no heartbeat or is leaving.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Host<State> {
-    word: HostWord,
+    heartbeat: HostHeartbeat,
     state: State,
 }
 
@@ -23,9 +23,9 @@
 pub(crate) struct Ended;
 
 impl Host<Serving> {
-    pub(crate) fn start(word: HostWord) -> Self {
+    pub(crate) fn start(heartbeat: HostHeartbeat) -> Self {
         Self {
-            word,
+            heartbeat,
             state: Serving,
         }
     }
@@ -47,18 +47,18 @@
         self.into_state(Ended)
     }
 
-    pub(crate) fn word(&self) -> &HostWord {
-        &self.word
+    pub(crate) fn heartbeat(&self) -> &HostHeartbeat {
+        &self.heartbeat
     }
 
     /// Stores a later heartbeat of the same process.
-    pub(crate) fn update(&mut self, word: HostWord) {
-        self.word = word;
+    pub(crate) fn update(&mut self, heartbeat: HostHeartbeat) {
+        self.heartbeat = heartbeat;
     }
 
     fn into_state<Next>(self, state: Next) -> Host<Next> {
         Host {
-            word: self.word,
+            heartbeat: self.heartbeat,
             state,
         }
     }
--- a/crates/forwarding/src/agent/lifecycle.rs
+++ b/crates/forwarding/src/agent/lifecycle.rs
@@ -1,11 +1,11 @@
 use std::mem;
 
 use super::host::{Draining, Ended, Host, Serving};
-use crate::{HostState, HostWord};
+use crate::{HostHeartbeat, HostState};
 
 /// Effect of a heartbeat of the backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
+pub enum HeartbeatEffect {
     /// First heartbeat of a process; flows of earlier processes are lost.
     Started,
     /// A later heartbeat of the known process that changes its state.
@@ -33,12 +33,12 @@
 }
 
 impl HostLifecycle {
-    pub(crate) fn word(&self) -> Option<&HostWord> {
+    pub(crate) fn heartbeat(&self) -> Option<&HostHeartbeat> {
         match self {
             Self::Unheard => None,
-            Self::Serving(host) => Some(host.word()),
-            Self::Draining(host) => Some(host.word()),
-            Self::Ended(host) => Some(host.word()),
+            Self::Serving(host) => Some(host.heartbeat()),
+            Self::Draining(host) => Some(host.heartbeat()),
+            Self::Ended(host) => Some(host.heartbeat()),
         }
     }
 
@@ -55,41 +55,47 @@
     ///
     /// A process reads its start time from a clock that may step back, so an earlier start time is
     /// accepted as a later process while the known one is silent.
-    pub(crate) fn on_heartbeat(&mut self, word: HostWord, silent: bool) -> Heard {
-        let Some(known) = self.word() else {
-            *self = from_heartbeat(word);
-            return Heard::Started;
+    pub(crate) fn on_heartbeat(
+        &mut self,
+        heartbeat: HostHeartbeat,
+        silent: bool,
+    ) -> HeartbeatEffect {
+        let Some(known) = self.heartbeat() else {
+            *self = from_heartbeat(heartbeat);
+            return HeartbeatEffect::Started;
         };
-        let same = known.id == word.id && known.born == word.born;
-        if (word.born < known.born && !silent) || (same && word.sequence <= known.sequence) {
-            return Heard::Late;
+        let same = known.id == heartbeat.id && known.born == heartbeat.born;
+        if (heartbeat.born < known.born && !silent)
+            || (same && heartbeat.sequence <= known.sequence)
+        {
+            return HeartbeatEffect::Late;
         }
         if !same {
-            *self = from_heartbeat(word);
-            return Heard::Started;
+            *self = from_heartbeat(heartbeat);
+            return HeartbeatEffect::Started;
         }
         let before = self.state();
-        *self = match (mem::take(self), word.draining) {
+        *self = match (mem::take(self), heartbeat.draining) {
             (Self::Serving(host), true) => Self::Draining(host.drain()),
             (Self::Draining(host), false) => Self::Serving(host.resume()),
-            (Self::Unheard | Self::Ended(_), _) => from_heartbeat(word.clone()),
+            (Self::Unheard | Self::Ended(_), _) => from_heartbeat(heartbeat.clone()),
             (lifecycle, _) => lifecycle,
         };
         match self {
-            Self::Serving(host) => host.update(word),
-            Self::Draining(host) => host.update(word),
+            Self::Serving(host) => host.update(heartbeat),
+            Self::Draining(host) => host.update(heartbeat),
             Self::Unheard | Self::Ended(_) => {}
         }
         if self.state() == before {
-            Heard::Confirmed
+            HeartbeatEffect::Confirmed
         } else {
-            Heard::Changed
+            HeartbeatEffect::Changed
         }
     }
 
     /// Ends the process `id`; `false` if it is not the current process.
     pub(crate) fn on_leave(&mut self, id: &str) -> bool {
-        if self.word().is_none_or(|word| word.id != id) {
+        if self.heartbeat().is_none_or(|heartbeat| heartbeat.id != id) {
             return false;
         }
         *self = match mem::take(self) {
@@ -101,9 +107,9 @@
     }
 }
 
-fn from_heartbeat(word: HostWord) -> HostLifecycle {
-    let draining = word.draining;
-    let host = Host::start(word);
+fn from_heartbeat(heartbeat: HostHeartbeat) -> HostLifecycle {
+    let draining = heartbeat.draining;
+    let host = Host::start(heartbeat);
     if draining {
         HostLifecycle::Draining(host.drain())
     } else {
--- a/crates/forwarding/src/agent/mod.rs
+++ b/crates/forwarding/src/agent/mod.rs
@@ -4,13 +4,13 @@
 mod entry;
 mod flow_table;
 mod forward;
+mod forwarder;
 mod host;
 mod host_monitor;
 mod lifecycle;
-mod path;
 mod pending_deliveries;
 mod wait_queue;
 
-pub use decision::{ForwardReason, Inbound, Outbound, Release, Step};
-pub use lifecycle::Heard;
-pub use path::AgentPath;
+pub use decision::{ForwardReason, Inbound, InboundAction, Outbound, Release};
+pub use forwarder::AgentForwarder;
+pub use lifecycle::HeartbeatEffect;
--- a/crates/forwarding/src/agent/pending_deliveries.rs
+++ b/crates/forwarding/src/agent/pending_deliveries.rs
@@ -1,16 +1,16 @@
-use crate::{FlowKey, Trip};
+use crate::{FlowKey, ForwardHeader};
 
 // Deliveries that can be matched to a returned packet. A backend server returns a packet within
 // milliseconds.
 const CAPACITY: usize = 512;
 const CAPACITY_BITS: u32 = 9;
 
-/// Trips of packets that the backend server may return, by token.
+/// Forward headers of packets that the backend server may return, by token.
 ///
 /// A ring: a new delivery overwrites the oldest one.
 #[derive(Debug, Clone)]
 pub(crate) struct PendingDeliveries {
-    slots: Vec<Option<(u32, FlowKey, Trip)>>,
+    slots: Vec<Option<(u32, FlowKey, ForwardHeader)>>,
     last_token: u32,
 }
 
@@ -22,18 +22,18 @@
         }
     }
 
-    /// Stores a trip and returns its token, which is never 0.
-    pub(crate) fn issue_token(&mut self, flow: FlowKey, trip: Trip) -> u32 {
+    /// Stores a header and returns its token, which is never 0.
+    pub(crate) fn issue_token(&mut self, flow: FlowKey, header: ForwardHeader) -> u32 {
         self.last_token = self.last_token.wrapping_add(1).max(1 << CAPACITY_BITS);
         let token = self.last_token;
-        self.slots[token as usize % CAPACITY] = Some((token, flow, trip));
+        self.slots[token as usize % CAPACITY] = Some((token, flow, header));
         token
     }
 
-    /// Removes the trip of a returned packet, unless it was overwritten or already taken.
-    pub(crate) fn take_trip(&mut self, flow: &FlowKey, token: u32) -> Option<Trip> {
+    /// Removes the header of a returned packet, unless it was overwritten or already taken.
+    pub(crate) fn take_header(&mut self, flow: &FlowKey, token: u32) -> Option<ForwardHeader> {
         let slot = &mut self.slots[token as usize % CAPACITY];
         slot.take_if(|(stored, stored_flow, _)| *stored == token && stored_flow == flow)
-            .map(|(_, _, trip)| trip)
+            .map(|(_, _, header)| header)
     }
 }
--- a/crates/forwarding/src/agent/wait_queue.rs
+++ b/crates/forwarding/src/agent/wait_queue.rs
@@ -3,9 +3,9 @@
 use indexmap::IndexMap;
 use usher_types::{Span, Time};
 
-use crate::{FlowKey, Trip};
+use crate::{FlowKey, ForwardHeader};
 
-// Queued flows per agent; each takes a packet of 31 bytes and its trip.
+// Queued flows per agent; each takes a packet of 31 bytes and its forward header.
 const CAPACITY: usize = 256;
 // A caller gives up 1.4 s after its first opening packet.
 const MAX_WAIT: Span = Span::from_millis(1_200);
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct QueuedFlow {
     pub(crate) flow: FlowKey,
-    pub(crate) trip: Trip,
+    pub(crate) header: ForwardHeader,
     deadline: Time,
 }
 
@@ -47,10 +47,10 @@
         self.queue.range(..(rank, u64::MAX)).count()
     }
 
-    /// Longest wait that leaves enough of the trip's budget for processing.
-    pub(crate) fn max_wait(trip: &Trip, work: Span) -> Span {
-        let least = trip.budget.scale(MIN_WAIT_SHARE);
-        (trip.budget - work * WORK_RESERVE_FACTOR)
+    /// Longest wait that leaves enough of the header's budget for processing.
+    pub(crate) fn max_wait(header: &ForwardHeader, work: Span) -> Span {
+        let least = header.budget.scale(MIN_WAIT_SHARE);
+        (header.budget - work * WORK_RESERVE_FACTOR)
             .max(least)
             .min(MAX_WAIT)
     }
@@ -59,16 +59,16 @@
         self.queue.len() >= CAPACITY
     }
 
-    pub(crate) fn push(&mut self, now: Time, flow: FlowKey, trip: Trip, max_wait: Span) {
+    pub(crate) fn push(&mut self, now: Time, flow: FlowKey, header: ForwardHeader, max_wait: Span) {
         self.arrivals += 1;
-        let key = (trip.rank, self.arrivals);
+        let key = (header.rank, self.arrivals);
         let deadline = now + max_wait;
         self.keys.insert(flow, key);
         self.queue.insert(
             key,
             QueuedFlow {
                 flow,
-                trip,
+                header,
                 deadline,
             },
         );
--- a/crates/forwarding/src/balancer/directory.rs
+++ b/crates/forwarding/src/balancer/directory.rs
@@ -5,7 +5,7 @@
 
 use super::host_record::HostRecord;
 use super::report_rate::ReportRate;
-use super::view::{HostView, ServiceView, View};
+use super::view::{HostView, RoutingView, ServiceView};
 use crate::{Configuration, HostState, NodeId, Report, ServiceKey};
 
 // A silent host is removed after this time, if other hosts are heard.
@@ -16,7 +16,7 @@
 
 /// The hosts that a balancer knows from the reports of their agents.
 #[derive(Debug, Clone)]
-pub struct Directory {
+pub struct HostDirectory {
     centre: DataCentre,
     hosts: IndexMap<NodeId, HostRecord>,
     /// Reports for the balancers of this data centre since the last digest.
@@ -28,13 +28,13 @@
     started: Time,
 }
 
-impl Directory {
+impl HostDirectory {
     /// An empty directory of a balancer of `centre` that starts at `now`.
     ///
     /// ```
-    /// use usher_forwarding::Directory;
+    /// use usher_forwarding::HostDirectory;
     /// use usher_types::Time;
-    /// let directory = Directory::new("kolkata".parse()?, Time::ZERO);
+    /// let directory = HostDirectory::new("kolkata".parse()?, Time::ZERO);
     /// assert!(directory.agents().next().is_none());
     /// # Ok::<(), usher_types::ParseError>(())
     /// ```
@@ -53,9 +53,9 @@
     ///
     /// Returns `true` if the view has to be published again.
     /// The report goes into the next digests if the agent reports to only a few balancers.
-    pub fn hear_direct(&mut self, now: Time, node: NodeId, report: &Report) -> bool {
+    pub fn on_direct_report(&mut self, now: Time, node: NodeId, report: &Report) -> bool {
         let changed = self.apply_report(now, node, report, ReportRate::Fast);
-        if report.few {
+        if report.relayed {
             self.local.insert(node, report.clone());
             self.remote.insert(node, report.clone());
             self.urgent |= changed;
@@ -68,7 +68,7 @@
     /// Returns `true` if the view has to be published again.
     /// `from` is the data centre of the balancer that relays it. A report from another data centre
     /// goes into the next digest for this one.
-    pub fn hear_relayed(
+    pub fn on_relayed_report(
         &mut self,
         now: Time,
         node: NodeId,
@@ -158,7 +158,7 @@
     }
 
     /// Builds the view for the traffic thread.
-    pub fn view(&self, configuration: Arc<Configuration>, previous: &View) -> View {
+    pub fn view(&self, configuration: Arc<Configuration>, previous: &RoutingView) -> RoutingView {
         let mut services: IndexMap<ServiceKey, ServiceView> = IndexMap::new();
         let mut nodes: Vec<_> = self.hosts.iter().collect();
         nodes.sort_by_key(|(node, _)| **node);
@@ -175,6 +175,6 @@
             });
             view.last_joined = view.last_joined.max(host.first_heard);
         }
-        View::new(self.started, configuration, services, previous)
+        RoutingView::new(self.started, configuration, services, previous)
     }
 }
--- a/crates/forwarding/src/balancer/path.rs
+++ b/crates/forwarding/src/balancer/forwarder.rs
@@ -3,8 +3,10 @@
 use super::flow_cache::{FlowCache, FlowLocation};
 use super::placement::Cost;
 use super::search;
-use super::view::{HostView, View};
-use crate::{Candidates, FlowKey, Head, Hint, HostState, NodeId, ServiceKey, Trip};
+use super::view::{HostView, RoutingView};
+use crate::{
+    Candidates, FlowKey, ForwardHeader, Hint, HostState, NodeId, PacketHeader, ServiceKey,
+};
 
 // Time that a balancer leaves hosts to report before it concludes that one is gone.
 const SETTLE_TIME: Span = Span::from_secs(5);
@@ -19,10 +21,10 @@
     Send {
         /// The agent.
         to: NodeId,
-        /// The trip to send with the packet.
-        trip: Trip,
+        /// The forward header to send with the packet.
+        forward_header: ForwardHeader,
         /// How the agent was found.
-        how: Found,
+        how: HostSource,
     },
     /// Send a reset to the caller.
     Reset {
@@ -31,15 +33,15 @@
         /// Position up to which the caller has received.
         received: u32,
         /// Why the flow is reset.
-        reason: Refused,
+        reason: RejectReason,
     },
     /// Drop the packet.
-    Drop(Refused),
+    Drop(RejectReason),
 }
 
 /// How a balancer found the agent for a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Found {
+pub enum HostSource {
     /// The packet opens a flow, which was placed on a host.
     Placed {
         /// Age of the report that the choice of the host is based on.
@@ -57,7 +59,7 @@
 
 /// Why a balancer does not forward a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refused {
+pub enum RejectReason {
     /// No configuration has been read yet.
     Unconfigured,
     /// No route uses the address.
@@ -70,7 +72,7 @@
     Unsettled,
 }
 
-impl Refused {
+impl RejectReason {
     /// Name of the reason in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -85,17 +87,17 @@
 
 /// The forwarding decisions of one balancer. Performs no I/O.
 #[derive(Debug, Clone)]
-pub struct BalancerPath {
+pub struct BalancerForwarder {
     node: NodeId,
     cache: FlowCache,
 }
 
-impl BalancerPath {
+impl BalancerForwarder {
     /// Creates a balancer with an empty flow cache.
     ///
     /// ```
-    /// use usher_forwarding::BalancerPath;
-    /// let balancer = BalancerPath::new("10.1.0.10".parse()?);
+    /// use usher_forwarding::BalancerForwarder;
+    /// let balancer = BalancerForwarder::new("10.1.0.10".parse()?);
     /// # Ok::<(), std::net::AddrParseError>(())
     /// ```
     pub fn new(node: NodeId) -> Self {
@@ -104,34 +106,39 @@
     }
 
     /// Decides on a packet from a caller.
-    pub fn on_packet(&mut self, now: Time, head: &Head, view: &View) -> Verdict {
-        let flow = head.inbound();
-        if head.opens() {
+    pub fn on_packet(
+        &mut self,
+        now: Time,
+        packet_header: &PacketHeader,
+        view: &RoutingView,
+    ) -> Verdict {
+        let flow = packet_header.inbound();
+        if packet_header.opens() {
             return self.on_opening(now, flow, view);
         }
         let round = match self.cache.get(&flow) {
             Some(FlowLocation::At(node)) => {
                 let mut candidates = Candidates::default();
                 candidates.push(node);
-                return self.send(node, candidates, ServiceKey::NONE, Found::Cached);
+                return self.send(node, candidates, ServiceKey::NONE, HostSource::Cached);
             }
             Some(FlowLocation::Searched(round)) => round,
             None => 0,
         };
         if view.route(&flow.address).is_none() {
-            return Verdict::Drop(Refused::NoRoute);
+            return Verdict::Drop(RejectReason::NoRoute);
         }
         let candidates = search::round(view, &flow, round);
         match candidates.as_slice().first() {
-            Some(node) => self.send(*node, candidates, ServiceKey::NONE, Found::Searched),
-            None => Verdict::Drop(Refused::Unsettled),
+            Some(node) => self.send(*node, candidates, ServiceKey::NONE, HostSource::Searched),
+            None => Verdict::Drop(RejectReason::Unsettled),
         }
     }
 
     /// Applies a hint from an agent.
     ///
     /// Returns a reset if the flow's host is known to be gone.
-    pub fn on_hint(&mut self, now: Time, hint: &Hint, view: &View) -> Option<Verdict> {
+    pub fn on_hint(&mut self, now: Time, hint: &Hint, view: &RoutingView) -> Option<Verdict> {
         match *hint {
             Hint::Held { flow, node } => {
                 self.cache.insert(now, flow, FlowLocation::At(node));
@@ -148,7 +155,7 @@
         now: Time,
         flow: FlowKey,
         received: u32,
-        view: &View,
+        view: &RoutingView,
     ) -> Option<Verdict> {
         let next = match self.cache.get(&flow) {
             Some(FlowLocation::Searched(round)) => round.saturating_add(1),
@@ -161,29 +168,29 @@
         }
         self.cache.remove(&flow);
         if !view.is_settled(now, SETTLE_TIME) {
-            return Some(Verdict::Drop(Refused::Unsettled));
+            return Some(Verdict::Drop(RejectReason::Unsettled));
         }
         Some(Verdict::Reset {
             flow,
             received,
-            reason: Refused::HostGone,
+            reason: RejectReason::HostGone,
         })
     }
 
-    fn on_opening(&mut self, now: Time, flow: FlowKey, view: &View) -> Verdict {
+    fn on_opening(&mut self, now: Time, flow: FlowKey, view: &RoutingView) -> Verdict {
         let refuse = |reason| Verdict::Reset {
             flow,
             received: 0,
             reason,
         };
         if view.configuration.version.get() == 0 {
-            return Verdict::Drop(Refused::Unconfigured);
+            return Verdict::Drop(RejectReason::Unconfigured);
         }
         let Some(route) = view.route(&flow.address) else {
-            return refuse(Refused::NoRoute);
+            return refuse(RejectReason::NoRoute);
         };
         let Some(service) = route.service(flow.hash(0)) else {
-            return refuse(Refused::NoHost);
+            return refuse(RejectReason::NoHost);
         };
         let hosts = search::shortlist(view.hosts(service), &flow, PLACEMENT_HOSTS);
         let ranked = rank(now, &hosts, &flow);
@@ -198,9 +205,9 @@
             // retransmits its packet.
             let settled = now - view.started >= SETTLE_TIME;
             return if settled {
-                refuse(Refused::NoHost)
+                refuse(RejectReason::NoHost)
             } else {
-                Verdict::Drop(Refused::Unsettled)
+                Verdict::Drop(RejectReason::Unsettled)
             };
         };
         if repeated.is_none() {
@@ -214,31 +221,41 @@
             }
         }
         self.cache.insert(now, flow, FlowLocation::At(chosen.node));
-        let placed = Found::Placed {
+        let placed = HostSource::Placed {
             age: now - chosen.shared_load.reported_at(),
             working: chosen.shared_load.load().working,
             among: candidates.as_slice().len() as u8,
         };
         let mut verdict = self.send(chosen.node, candidates, service, placed);
-        if let Verdict::Send { trip, .. } = &mut verdict {
-            trip.budget = route.target.min(route.timeout);
-            trip.rank = route.rank;
+        if let Verdict::Send { forward_header, .. } = &mut verdict {
+            forward_header.budget = route.target.min(route.timeout);
+            forward_header.rank = route.rank;
         }
         verdict
     }
 
-    fn send(&self, to: NodeId, candidates: Candidates, service: ServiceKey, how: Found) -> Verdict {
-        let trip = Trip {
+    fn send(
+        &self,
+        to: NodeId,
+        candidates: Candidates,
+        service: ServiceKey,
+        how: HostSource,
+    ) -> Verdict {
+        let forward_header = ForwardHeader {
             service,
             origin: self.node,
             candidates,
             hop: 0,
-            best: None,
+            shortest: None,
             budget: Span::ZERO,
             rank: 0,
-            last: false,
+            is_final: false,
         };
-        Verdict::Send { to, trip, how }
+        Verdict::Send {
+            to,
+            forward_header,
+            how,
+        }
     }
 }
 
--- a/crates/forwarding/src/balancer/mod.rs
+++ b/crates/forwarding/src/balancer/mod.rs
@@ -2,14 +2,14 @@
 
 mod directory;
 mod flow_cache;
+mod forwarder;
 mod host_record;
-mod path;
 mod placement;
 mod report_rate;
 mod search;
 mod shared_load;
 mod view;
 
-pub use directory::Directory;
-pub use path::{BalancerPath, Found, Refused, Verdict};
-pub use view::View;
+pub use directory::HostDirectory;
+pub use forwarder::{BalancerForwarder, HostSource, RejectReason, Verdict};
+pub use view::RoutingView;
--- a/crates/forwarding/src/balancer/search.rs
+++ b/crates/forwarding/src/balancer/search.rs
@@ -1,4 +1,4 @@
-use super::view::{HostView, View};
+use super::view::{HostView, RoutingView};
 use crate::{Candidates, FlowKey, HostState, NodeId};
 
 /// The first `length` hosts of a service for a flow, by rendezvous hashing.
@@ -19,7 +19,7 @@
 /// The agents that one round of a search for a flow visits.
 ///
 /// Those of the route's services come first, then all others. Empty after the last round.
-pub(crate) fn round(view: &View, flow: &FlowKey, round: u8) -> Candidates {
+pub(crate) fn round(view: &RoutingView, flow: &FlowKey, round: u8) -> Candidates {
     let mut candidates = Candidates::default();
     let skipped = usize::from(round) * Candidates::MAX;
     let mut seen = Vec::new();
--- a/crates/forwarding/src/balancer/view.rs
+++ b/crates/forwarding/src/balancer/view.rs
@@ -15,7 +15,7 @@
 ///
 /// The control thread replaces it as a whole.
 #[derive(Debug, Default)]
-pub struct View {
+pub struct RoutingView {
     pub(crate) configuration: Arc<Configuration>,
     pub(crate) services: IndexMap<ServiceKey, ServiceView>,
     pub(crate) earlier: IndexMap<SocketAddrV4, Vec<ServiceKey>>,
@@ -44,7 +44,7 @@
     pub(crate) shared_load: Arc<SharedLoad>,
 }
 
-impl View {
+impl RoutingView {
     pub(crate) fn new(
         started: Time,
         configuration: Arc<Configuration>,
--- a/crates/forwarding/src/strength.rs
+++ b/crates/forwarding/src/cpu_capacity.rs
@@ -8,42 +8,42 @@
 /// Processor capacity of a node in thousandths of a core. Displayed in cores.
 ///
 /// ```
-/// use usher_forwarding::Strength;
-/// let strength: Strength = "0.055".parse().unwrap();
-/// assert_eq!(strength.to_string(), "0.055");
+/// use usher_forwarding::CpuCapacity;
+/// let capacity: CpuCapacity = "0.055".parse().unwrap();
+/// assert_eq!(capacity.to_string(), "0.055");
 /// ```
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(transparent)]
-pub struct Strength(u32);
+pub struct CpuCapacity(u32);
 
 /// The text is not a positive number of cores.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct InvalidStrength;
+pub struct InvalidCapacity;
 
-impl Strength {
+impl CpuCapacity {
     /// The capacity in thousandths of a core.
     pub const fn millicores(self) -> u32 {
         self.0
     }
 }
 
-impl fmt::Display for Strength {
+impl fmt::Display for CpuCapacity {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", f64::from(self.0) / MILLICORES_PER_CORE)
     }
 }
 
-impl FromStr for Strength {
-    type Err = InvalidStrength;
+impl FromStr for CpuCapacity {
+    type Err = InvalidCapacity;
 
-    fn from_str(text: &str) -> Result<Self, InvalidStrength> {
-        let cores: f64 = text.parse().ok().ok_or(InvalidStrength)?;
+    fn from_str(text: &str) -> Result<Self, InvalidCapacity> {
+        let cores: f64 = text.parse().ok().ok_or(InvalidCapacity)?;
         if cores.is_finite() && cores > 0.0 {
             Ok(Self((cores * MILLICORES_PER_CORE).round().max(1.0) as u32))
         } else {
-            Err(InvalidStrength)
+            Err(InvalidCapacity)
         }
     }
 }
--- a/crates/forwarding/src/fleet.rs
+++ b/crates/forwarding/src/fleet.rs
@@ -3,7 +3,7 @@
 use usher_types::{DataCentre, Span, Time, Version};
 
 use crate::member::{Member, SILENCE_TIMEOUT};
-use crate::{Hello, NodeId, Strength};
+use crate::{CpuCapacity, Hello, NodeId};
 
 mod standby;
 
@@ -43,11 +43,11 @@
     /// use usher_forwarding::Fleet;
     /// use usher_types::Time;
     /// let mut fleet = Fleet::default();
-    /// assert!(fleet.learn(Time::ZERO, "10.1.0.10".parse()?));
-    /// assert!(!fleet.learn(Time::ZERO, "10.1.0.10".parse()?));
+    /// assert!(fleet.add(Time::ZERO, "10.1.0.10".parse()?));
+    /// assert!(!fleet.add(Time::ZERO, "10.1.0.10".parse()?));
     /// # Ok::<(), std::net::AddrParseError>(())
     /// ```
-    pub fn learn(&mut self, now: Time, node: NodeId) -> bool {
+    pub fn add(&mut self, now: Time, node: NodeId) -> bool {
         let new = !self.members.contains_key(&node);
         self.members
             .entry(node)
@@ -58,8 +58,8 @@
     /// Applies a hello of a balancer.
     ///
     /// Returns `true` if its process has not been heard before.
-    pub fn hear(&mut self, now: Time, node: NodeId, hello: &Hello) -> bool {
-        self.learn(now, node);
+    pub fn on_hello(&mut self, now: Time, node: NodeId, hello: &Hello) -> bool {
+        self.add(now, node);
         let Some(member) = self.members.get_mut(&node) else {
             return false;
         };
@@ -75,7 +75,7 @@
         member.version = hello.version;
         member.leaving = hello.leaving;
         member.centre = Some(hello.centre.clone());
-        member.strength = hello.strength;
+        member.capacity = hello.capacity;
         if hello.ask {
             member.last_asked = Some(now);
         }
@@ -161,13 +161,14 @@
 
     /// The balancers of other data centres that a balancer is linked to.
     ///
-    /// Prefers balancers that are heard, then strong ones, by weighted rendezvous hashing.
+    /// Prefers balancers that are heard, then those with more capacity, by weighted rendezvous
+    /// hashing.
     pub fn links(&self, now: Time, own: NodeId, centre: &DataCentre) -> Vec<NodeId> {
         let mut scored: IndexMap<&DataCentre, Vec<(bool, f64, NodeId)>> = IndexMap::new();
         for (node, member) in &self.members {
             if let Some(other) = member.centre.as_ref().filter(|other| *other != centre) {
                 let heard = member.is_present(now) && !member.leaving;
-                let score = score(own, *node, member.strength, false);
+                let score = score(own, *node, member.capacity, false);
                 scored.entry(other).or_default().push((heard, score, *node));
             }
         }
@@ -190,22 +191,22 @@
     pub fn sends_hello(
         &self,
         now: Time,
-        own: (NodeId, Strength, &DataCentre),
+        own: (NodeId, CpuCapacity, &DataCentre),
         agent: NodeId,
         centre: &DataCentre,
     ) -> bool {
         if !self.is_large() {
             return true;
         }
-        let (node, strength, own_centre) = own;
+        let (node, capacity, own_centre) = own;
         let present = self.members.iter();
         let present = present.filter(|(_, member)| member.is_present(now) && !member.leaving);
         if own_centre != centre && present.clone().any(|(_, member)| member.is_in(centre)) {
             return false;
         }
-        let own_score = score(agent, node, strength, own_centre == centre);
+        let own_score = score(agent, node, capacity, own_centre == centre);
         let better = present.filter(|(node, member)| {
-            score(agent, **node, member.strength, member.is_in(centre)) > own_score
+            score(agent, **node, member.capacity, member.is_in(centre)) > own_score
         });
         better.take(HELLO_SENDERS).count() < HELLO_SENDERS
     }
@@ -251,7 +252,7 @@
         for (node, member) in &self.members {
             if member.is_present(now) && !member.leaving {
                 let near = member.is_in(centre);
-                scored.push((score(agent, *node, member.strength, near), *node));
+                scored.push((score(agent, *node, member.capacity, near), *node));
             }
         }
         scored.sort_by(|a, b| b.0.total_cmp(&a.0));
@@ -289,7 +290,7 @@
     }
 
     /// The heard balancer with the newest configuration, if newer than `version`.
-    pub fn ahead(&self, now: Time, version: Version) -> Option<(NodeId, Version)> {
+    pub fn newest_peer(&self, now: Time, version: Version) -> Option<(NodeId, Version)> {
         let present = self.present(now);
         let newest = self
             .members
@@ -307,7 +308,7 @@
             return Vec::new();
         }
         let silent =
-            |member: &Member| now - member.last_heard.unwrap_or(member.learned_at) > REMOVE_AFTER;
+            |member: &Member| now - member.last_heard.unwrap_or(member.added_at) > REMOVE_AFTER;
         let members = self.members.iter();
         let lost: Vec<NodeId> = members
             .filter(|(_, member)| silent(member) && member.last_heard.is_some())
@@ -319,9 +320,9 @@
 }
 
 // Weighted rendezvous score of a balancer for an agent; the highest is preferred.
-fn score(agent: NodeId, balancer: NodeId, strength: Strength, near: bool) -> f64 {
+fn score(agent: NodeId, balancer: NodeId, capacity: CpuCapacity, near: bool) -> f64 {
     let key = u64::from(u32::from(agent.address()));
     let preference = if near { LOCAL_PREFERENCE } else { 1 };
-    let weight = strength.millicores().saturating_mul(preference);
+    let weight = capacity.millicores().saturating_mul(preference);
     rendezvous(key, &balancer.address().octets(), weight)
 }
--- a/crates/forwarding/src/fleet/standby.rs
+++ b/crates/forwarding/src/fleet/standby.rs
@@ -1,10 +1,10 @@
 use usher_types::{DataCentre, Time};
 
 use super::Fleet;
-use crate::{NodeId, Strength};
+use crate::{CpuCapacity, NodeId};
 
-// A balancer stands by if another one of its data centre is this many times as strong. With an even
-// share of the traffic it would be the first to drop packets.
+// A balancer stands by if another one of its data centre has this many times its capacity. With an
+// even share of the traffic it would be the first to drop packets.
 const STANDBY_RATIO: u32 = 4;
 
 impl Fleet {
@@ -12,11 +12,11 @@
     ///
     /// The platform spreads flows evenly over the balancers in rotation. If fewer than half of the
     /// balancers of a data centre are in rotation, it uses all of them, so half of them stay.
-    pub fn stands_by(
+    pub fn is_standby(
         &self,
         now: Time,
         own: NodeId,
-        strength: Strength,
+        capacity: CpuCapacity,
         centre: &DataCentre,
     ) -> bool {
         let present = self.present(now);
@@ -26,18 +26,18 @@
             .filter(|(_, member)| member.centre.as_ref() == Some(centre));
         let mut known = 1;
         let mut stronger = 0;
-        let mut strongest = strength;
+        let mut strongest = capacity;
         for (node, member) in near {
             known += 1;
             if !present.contains(node) || member.leaving {
                 continue;
             }
-            strongest = strongest.max(member.strength);
-            let before = (member.strength, own) > (strength, *node);
+            strongest = strongest.max(member.capacity);
+            let before = (member.capacity, own) > (capacity, *node);
             stronger += u32::from(before);
         }
         let needed = u32::div_ceil(known, 2);
-        let weak = strength.millicores() * STANDBY_RATIO < strongest.millicores();
+        let weak = capacity.millicores() * STANDBY_RATIO < strongest.millicores();
         weak && stronger >= needed
     }
 }
--- a/crates/forwarding/src/trip.rs
+++ b/crates/forwarding/src/forward_header.rs
@@ -6,7 +6,7 @@
 ///
 /// Lists the agents that the packet may visit and how many of them it has passed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Trip {
+pub struct ForwardHeader {
     /// Service that the balancer chose.
     pub service: ServiceKey,
     /// Balancer that received the packet.
@@ -16,26 +16,26 @@
     /// Index in `candidates` of the agent that has the packet now.
     pub hop: u8,
     /// Busy agent with the shortest expected wait so far; opening packets only.
-    pub best: Option<Best>,
+    pub shortest: Option<ShortestQueue>,
     /// Time within which the caller can use the answer; opening packets only.
     pub budget: Span,
     /// Priority of the route; 0 is served first.
     pub rank: u8,
     /// The packet must not be forwarded again: accept, queue or refuse it.
-    pub last: bool,
+    pub is_final: bool,
 }
 
 /// A busy agent and its expected wait for a new request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Best {
+pub struct ShortestQueue {
     /// The agent.
     pub node: NodeId,
     /// Expected wait.
     pub wait: Span,
 }
 
-impl Trip {
-    /// The next candidate and the trip advanced to it, if one is left.
+impl ForwardHeader {
+    /// The next candidate and the header advanced to it, if one is left.
     pub(crate) fn next(&self) -> Option<(NodeId, Self)> {
         let hop = self.hop.checked_add(1)?;
         let node = *self.candidates.as_slice().get(usize::from(hop))?;
--- a/crates/forwarding/src/host_word.rs
+++ b/crates/forwarding/src/host_heartbeat.rs
@@ -2,7 +2,7 @@
 
 /// Content of one heartbeat of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HostWord {
+pub struct HostHeartbeat {
     /// Name of the backend server's process.
     pub id: String,
     /// Name of its service.
--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -4,43 +4,47 @@
 //! packets to its backend server, queues them or forwards them to other agents. Nothing here
 //! performs I/O, reads a clock or encodes a message.
 
+mod active_configuration;
 mod agent;
 mod balancer;
 mod candidates;
-mod departures;
-mod exchange;
+mod control_targets;
+mod cpu_capacity;
 mod fleet;
 mod flow_key;
-mod head;
+mod forward_header;
 mod hint;
+mod host_heartbeat;
 mod host_state;
-mod host_word;
-mod in_force;
 mod load;
 mod member;
 mod node_id;
+mod packet_header;
 mod report;
 mod route;
 mod service_key;
-mod strength;
-mod trip;
+mod stale_entries;
 
-pub use agent::{AgentPath, ForwardReason, Heard, Inbound, Outbound, Release, Step};
-pub use balancer::{BalancerPath, Directory, Found, Refused, Verdict, View};
+pub use active_configuration::ActiveConfiguration;
+pub use agent::{
+    AgentForwarder, ForwardReason, HeartbeatEffect, Inbound, InboundAction, Outbound, Release,
+};
+pub use balancer::{
+    BalancerForwarder, HostDirectory, HostSource, RejectReason, RoutingView, Verdict,
+};
 pub use candidates::Candidates;
-pub use departures::Departures;
-pub use exchange::{Exchange, Relayed};
+pub use control_targets::{ControlTargets, Digest};
+pub use cpu_capacity::{CpuCapacity, InvalidCapacity};
 pub use fleet::Fleet;
 pub use flow_key::FlowKey;
-pub use head::{Flags, Head};
+pub use forward_header::{ForwardHeader, ShortestQueue};
 pub use hint::Hint;
+pub use host_heartbeat::HostHeartbeat;
 pub use host_state::{HostState, UnknownState};
-pub use host_word::HostWord;
-pub use in_force::InForce;
 pub use load::Load;
 pub use node_id::NodeId;
+pub use packet_header::{Flags, PacketHeader};
 pub use report::{Hello, Report};
 pub use route::{Configuration, Route};
 pub use service_key::ServiceKey;
-pub use strength::{InvalidStrength, Strength};
-pub use trip::{Best, Trip};
+pub use stale_entries::StaleEntries;
--- a/crates/forwarding/src/member.rs
+++ b/crates/forwarding/src/member.rs
@@ -1,6 +1,6 @@
 use usher_types::{DataCentre, Span, Time, Version};
 
-use crate::Strength;
+use crate::CpuCapacity;
 
 /// Time without a hello after which a balancer counts as silent.
 ///
@@ -10,7 +10,7 @@
 /// What a process knows about one balancer.
 #[derive(Debug, Clone)]
 pub(crate) struct Member {
-    pub(crate) learned_at: Time,
+    pub(crate) added_at: Time,
     pub(crate) last_heard: Option<Time>,
     pub(crate) last_sent: Option<Time>,
     pub(crate) epoch: u64,
@@ -18,7 +18,7 @@
     pub(crate) version: Version,
     pub(crate) leaving: bool,
     pub(crate) centre: Option<DataCentre>,
-    pub(crate) strength: Strength,
+    pub(crate) capacity: CpuCapacity,
     /// When it last asked this process for hellos.
     pub(crate) last_asked: Option<Time>,
 }
@@ -27,7 +27,7 @@
     /// A balancer that has not been heard yet.
     pub(crate) fn named(now: Time) -> Self {
         Self {
-            learned_at: now,
+            added_at: now,
             last_heard: None,
             last_sent: None,
             epoch: 0,
@@ -35,7 +35,7 @@
             version: Version::default(),
             leaving: false,
             centre: None,
-            strength: Strength::default(),
+            capacity: CpuCapacity::default(),
             last_asked: None,
         }
     }
--- a/crates/forwarding/src/head.rs
+++ b/crates/forwarding/src/packet_header.rs
@@ -4,7 +4,7 @@
 
 /// The fields of a packet's header that decisions use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Head {
+pub struct PacketHeader {
     /// Endpoint that sent the packet.
     pub source: SocketAddrV4,
     /// Endpoint that the packet is addressed to.
@@ -24,7 +24,7 @@
 }
 
 /// Control flags of a packet.
-#[expect(clippy::struct_excessive_bools, reason = "each is a bit of the head")]
+#[expect(clippy::struct_excessive_bools, reason = "each is a bit of the header")]
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Flags {
     /// Opens a flow.
@@ -39,7 +39,7 @@
     pub returned: bool,
 }
 
-impl Head {
+impl PacketHeader {
     /// The flow of a packet that a caller sent.
     pub fn inbound(&self) -> FlowKey {
         FlowKey {
--- a/crates/forwarding/src/report.rs
+++ b/crates/forwarding/src/report.rs
@@ -1,7 +1,7 @@
 use serde::{Deserialize, Serialize};
 use usher_types::{DataCentre, Sequence, Slots, Span, Version};
 
-use crate::{HostState, Load, NodeId, ServiceKey, Strength};
+use crate::{CpuCapacity, HostState, Load, NodeId, ServiceKey};
 
 /// Report of an agent to balancers, sent several times a second.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -25,7 +25,7 @@
     /// Requests at the backend server and their mean processing time.
     pub load: Load,
     /// The agent reports to only a few balancers, which relay the report.
-    pub few: bool,
+    pub relayed: bool,
 }
 
 /// Hello of a balancer to other balancers and to agents.
@@ -40,7 +40,7 @@
     /// Data centre of the balancer.
     pub centre: DataCentre,
     /// Processor capacity of the balancer.
-    pub strength: Strength,
+    pub capacity: CpuCapacity,
     /// Balancers that the sender hears.
     pub balancers: Vec<NodeId>,
     /// Agents that the sender hears; empty to agents and in a large fleet.
--- a/crates/forwarding/src/route.rs
+++ b/crates/forwarding/src/route.rs
@@ -11,7 +11,7 @@
     /// Version of the document in the store, which alone orders configurations.
     pub version: Version,
     /// Version number that the operator set; for display only.
-    pub label: u64,
+    pub operator_version: u64,
     /// Routes by the address that callers connect to.
     pub routes: IndexMap<SocketAddrV4, Route>,
     /// Number of entries of the document that cannot be used.
--- a/crates/forwarding/src/departures.rs
+++ b/crates/forwarding/src/stale_entries.rs
@@ -8,11 +8,11 @@
 
 /// Balancers that the store lists but nobody hears, to remove their entries.
 #[derive(Debug, Clone, Default)]
-pub struct Departures {
+pub struct StaleEntries {
     silent: IndexMap<NodeId, Time>,
 }
 
-impl Departures {
+impl StaleEntries {
     /// Returns the store entries that the balancer `own` has to remove.
     ///
     /// `listed` are the entries of the store without the balancers that others watch, and `present`
@@ -20,14 +20,14 @@
     /// that hear each other, the one with the lowest address removes the entries.
     ///
     /// ```
-    /// use usher_forwarding::{Departures, NodeId};
+    /// use usher_forwarding::{StaleEntries, NodeId};
     /// use usher_types::{Span, Time};
     /// let (own, other, stopped) = ("10.1.0.1".parse()?, "10.1.0.2".parse()?, "10.1.0.3".parse()?);
-    /// let mut departures = Departures::default();
+    /// let mut stale_entries = StaleEntries::default();
     /// let listed = [own, other, stopped];
-    /// assert!(departures.observe(Time::ZERO, own, &listed, &[other]).is_empty());
+    /// assert!(stale_entries.observe(Time::ZERO, own, &listed, &[other]).is_empty());
     /// let later = Time::ZERO + Span::from_secs(60);
-    /// assert_eq!(departures.observe(later, own, &listed, &[other]), [stopped]);
+    /// assert_eq!(stale_entries.observe(later, own, &listed, &[other]), [stopped]);
     /// # Ok::<(), std::net::AddrParseError>(())
     /// ```
     pub fn observe(
--- a/crates/forwarding/tests/agent/fixture.rs
+++ b/crates/forwarding/tests/agent/fixture.rs
@@ -1,6 +1,7 @@
 use assert_matches::assert_matches;
 use usher_forwarding::{
-    AgentPath, Candidates, Flags, Head, HostWord, NodeId, ServiceKey, Step, Trip,
+    AgentForwarder, Candidates, Flags, ForwardHeader, HostHeartbeat, InboundAction, NodeId,
+    PacketHeader, ServiceKey,
 };
 use usher_types::{Sequence, Slots, Span, Time};
 
@@ -15,8 +16,8 @@
     Time::ZERO + Span::from_millis(millis)
 }
 
-pub fn heartbeat(id: &str, born: u64, sequence: u32) -> HostWord {
-    HostWord {
+pub fn heartbeat(id: &str, born: u64, sequence: u32) -> HostHeartbeat {
+    HostHeartbeat {
         id: id.to_owned(),
         service: SERVICE.to_owned(),
         born,
@@ -27,19 +28,19 @@
     }
 }
 
-pub fn agent() -> AgentPath {
-    AgentPath::new(node(3), SERVICE, Time::ZERO, FLOW_LIFE)
+pub fn agent() -> AgentForwarder {
+    AgentForwarder::new(node(3), SERVICE, Time::ZERO, FLOW_LIFE)
 }
 
 // An agent that has run for longer than any flow lives, so its flow table is complete.
-pub fn serving_agent() -> AgentPath {
-    let mut agent = AgentPath::new(node(3), SERVICE, Time::ZERO, Span::ZERO);
-    agent.hear(at(0), heartbeat("i-1", 100, 1));
+pub fn serving_agent() -> AgentForwarder {
+    let mut agent = AgentForwarder::new(node(3), SERVICE, Time::ZERO, Span::ZERO);
+    agent.on_heartbeat(at(0), heartbeat("i-1", 100, 1));
     agent
 }
 
-pub fn head(port: u16, flags: Flags) -> Head {
-    Head {
+pub fn packet_header(port: u16, flags: Flags) -> PacketHeader {
+    PacketHeader {
         source: format!("100.64.0.7:{port}").parse().unwrap(),
         target: "198.18.0.1:443".parse().unwrap(),
         flags,
@@ -50,9 +51,9 @@
     }
 }
 
-pub fn opening(port: u16) -> Head {
+pub fn opening(port: u16) -> PacketHeader {
     let opening = true;
-    head(
+    packet_header(
         port,
         Flags {
             opening,
@@ -61,23 +62,23 @@
     )
 }
 
-pub fn data_packet(port: u16) -> Head {
+pub fn data_packet(port: u16) -> PacketHeader {
     let acknowledging = true;
     let flags = Flags {
         acknowledging,
         ..Flags::default()
     };
-    Head {
+    PacketHeader {
         acknowledged: 77,
         data: 10,
-        ..head(port, flags)
+        ..packet_header(port, flags)
     }
 }
 
 // A packet from the backend server on the flow of a caller's packet.
-pub fn answer(caller: &Head, opening: bool, data: u16) -> Head {
+pub fn answer(caller: &PacketHeader, opening: bool, data: u16) -> PacketHeader {
     let acknowledging = true;
-    Head {
+    PacketHeader {
         source: caller.target,
         target: caller.source,
         flags: Flags {
@@ -91,41 +92,41 @@
 }
 
 // A caller's packet that the backend server returns.
-pub fn returned(caller: &Head, token: u32) -> Head {
+pub fn returned(caller: &PacketHeader, token: u32) -> PacketHeader {
     let flags = Flags {
         returned: true,
         ..caller.flags
     };
-    Head {
+    PacketHeader {
         flags,
         token,
         ..*caller
     }
 }
 
-pub fn trip(candidates: &[u8], hop: u8) -> Trip {
+pub fn forward_header(candidates: &[u8], hop: u8) -> ForwardHeader {
     let mut list = Candidates::default();
     for last in candidates {
         list.push(node(*last));
     }
-    Trip {
+    ForwardHeader {
         service: ServiceKey::of(SERVICE),
         origin: node(9),
         candidates: list,
         hop,
-        best: None,
+        shortest: None,
         budget: Span::from_millis(500),
         rank: 2,
-        last: false,
+        is_final: false,
     }
 }
 
 // Opens a flow: handshake, a first packet with data and the acknowledgement of it.
-pub fn open_flow(agent: &mut AgentPath, port: u16) {
+pub fn open_flow(agent: &mut AgentForwarder, port: u16) {
     let caller = opening(port);
-    let inbound = agent.on_packet(at(1), &caller, &trip(&[3, 4], 0));
-    assert_matches!(inbound.step, Step::Deliver { opening: true, .. });
+    let inbound = agent.on_packet(at(1), &caller, &forward_header(&[3, 4], 0));
+    assert_matches!(inbound.action, InboundAction::Deliver { opening: true, .. });
     agent.on_host_packet(at(1), &answer(&caller, true, 0));
-    agent.on_packet(at(2), &data_packet(port), &trip(&[3, 4], 0));
+    agent.on_packet(at(2), &data_packet(port), &forward_header(&[3, 4], 0));
     agent.on_host_packet(at(3), &answer(&data_packet(port), false, 0));
 }
--- a/crates/forwarding/tests/agent/flows.rs
+++ b/crates/forwarding/tests/agent/flows.rs
@@ -1,20 +1,21 @@
 use assert_matches::assert_matches;
 use usher_forwarding::{
-    ForwardReason, Heard, HostState, HostWord, Outbound, ServiceKey, Step, Trip,
+    ForwardHeader, ForwardReason, HeartbeatEffect, HostHeartbeat, HostState, InboundAction,
+    Outbound, ServiceKey,
 };
 
 use crate::fixture::{
-    agent, answer, at, data_packet, heartbeat, node, open_flow, opening, returned, serving_agent,
-    trip,
+    agent, answer, at, data_packet, forward_header, heartbeat, node, open_flow, opening, returned,
+    serving_agent,
 };
 
 /// Guards against a restarted agent that delivers new flows before a heartbeat.
 #[test]
 fn an_agent_takes_no_flow_before_the_first_heartbeat() {
-    let inbound = agent().on_packet(at(1), &opening(1), &trip(&[3, 4], 0));
+    let inbound = agent().on_packet(at(1), &opening(1), &forward_header(&[3, 4], 0));
     assert_matches!(
-        inbound.step,
-        Step::Forward { to, reason: ForwardReason::NotServing, .. } if to == node(4)
+        inbound.action,
+        InboundAction::Forward { to, reason: ForwardReason::NotServing, .. } if to == node(4)
     );
 }
 
@@ -25,34 +26,43 @@
 fn a_leaving_backend_server_gets_no_new_flow_and_keeps_its_own() {
     let mut agent = serving_agent();
     open_flow(&mut agent, 1);
-    let draining = HostWord {
+    let draining = HostHeartbeat {
         draining: true,
         ..heartbeat("i-1", 100, 2)
     };
-    assert_eq!(agent.hear(at(10), draining).0, Heard::Changed);
-    let inbound = agent.on_packet(at(11), &opening(2), &trip(&[3], 0));
-    assert_matches!(inbound.step, Step::Refuse { .. });
-    let inbound = agent.on_packet(at(11), &data_packet(1), &trip(&[3], 0));
-    assert_matches!(inbound.step, Step::Deliver { token: 0, .. });
+    assert_eq!(
+        agent.on_heartbeat(at(10), draining).0,
+        HeartbeatEffect::Changed
+    );
+    let inbound = agent.on_packet(at(11), &opening(2), &forward_header(&[3], 0));
+    assert_matches!(inbound.action, InboundAction::Refuse { .. });
+    let inbound = agent.on_packet(at(11), &data_packet(1), &forward_header(&[3], 0));
+    assert_matches!(inbound.action, InboundAction::Deliver { token: 0, .. });
 }
 
 /// Guards against a late heartbeat that cancels draining or brings back an ended process.
 #[test]
-fn late_words_change_nothing() {
+fn late_heartbeats_change_nothing() {
     let mut agent = serving_agent();
-    let draining = HostWord {
+    let draining = HostHeartbeat {
         draining: true,
         ..heartbeat("i-1", 100, 5)
     };
-    agent.hear(at(10), draining);
-    assert_eq!(agent.hear(at(11), heartbeat("i-1", 100, 4)).0, Heard::Late);
+    agent.on_heartbeat(at(10), draining);
+    assert_eq!(
+        agent.on_heartbeat(at(11), heartbeat("i-1", 100, 4)).0,
+        HeartbeatEffect::Late
+    );
     assert_eq!(agent.state(), HostState::Draining);
     assert_eq!(
-        agent.hear(at(12), heartbeat("i-2", 200, 1)).0,
-        Heard::Started
+        agent.on_heartbeat(at(12), heartbeat("i-2", 200, 1)).0,
+        HeartbeatEffect::Started
     );
-    assert_eq!(agent.hear(at(13), heartbeat("i-1", 100, 6)).0, Heard::Late);
-    assert!(agent.leave(at(14), "i-1").is_none());
+    assert_eq!(
+        agent.on_heartbeat(at(13), heartbeat("i-1", 100, 6)).0,
+        HeartbeatEffect::Late
+    );
+    assert!(agent.on_leave(at(14), "i-1").is_none());
     assert_eq!(agent.state(), HostState::Serving);
 }
 
@@ -61,29 +71,32 @@
 fn an_earlier_start_counts_once_the_later_process_is_silent() {
     let mut agent = serving_agent();
     assert_eq!(
-        agent.hear(at(1_000), heartbeat("i-2", 50, 1)).0,
-        Heard::Late
+        agent.on_heartbeat(at(1_000), heartbeat("i-2", 50, 1)).0,
+        HeartbeatEffect::Late
     );
     assert_eq!(
-        agent.hear(at(4_000), heartbeat("i-2", 50, 3)).0,
-        Heard::Started
+        agent.on_heartbeat(at(4_000), heartbeat("i-2", 50, 3)).0,
+        HeartbeatEffect::Started
     );
-    assert_eq!(agent.word().unwrap().id, "i-2");
+    assert_eq!(agent.heartbeat().unwrap().id, "i-2");
 }
 
 /// Guards against callers that wait for a process that has been replaced.
 #[test]
 fn flows_of_an_earlier_process_are_given_up() {
-    for later_word in [heartbeat("i-2", 200, 1), heartbeat("i-1", 200, 1)] {
+    for later_heartbeat in [heartbeat("i-2", 200, 1), heartbeat("i-1", 200, 1)] {
         let mut agent = serving_agent();
         open_flow(&mut agent, 1);
-        let (heard, gone) = agent.hear(at(2_600), later_word);
-        assert_eq!(heard, Heard::Started);
+        let (effect, gone) = agent.on_heartbeat(at(2_600), later_heartbeat);
+        assert_eq!(effect, HeartbeatEffect::Started);
         assert_eq!(gone, [(data_packet(1).inbound(), 77)]);
     }
     let mut agent = serving_agent();
     open_flow(&mut agent, 1);
-    assert_eq!(agent.leave(at(10), "i-1").map(|gone| gone.len()), Some(1));
+    assert_eq!(
+        agent.on_leave(at(10), "i-1").map(|gone| gone.len()),
+        Some(1)
+    );
 }
 
 /// Guards against the reset of a flow that a new process may hold.
@@ -93,14 +106,14 @@
 fn flows_that_a_new_process_may_hold_are_left_to_it() {
     let mut agent = serving_agent();
     open_flow(&mut agent, 1);
-    let (heard, gone) = agent.hear(at(1_000), heartbeat("i-1", 200, 1));
-    assert_eq!((heard, gone), (Heard::Started, Vec::new()));
-    let inbound = agent.on_packet(at(1_001), &data_packet(1), &trip(&[3, 4], 0));
-    let token = assert_matches!(inbound.step, Step::Deliver { token, .. } => token);
+    let (effect, gone) = agent.on_heartbeat(at(1_000), heartbeat("i-1", 200, 1));
+    assert_eq!((effect, gone), (HeartbeatEffect::Started, Vec::new()));
+    let inbound = agent.on_packet(at(1_001), &data_packet(1), &forward_header(&[3, 4], 0));
+    let token = assert_matches!(inbound.action, InboundAction::Deliver { token, .. } => token);
     assert_ne!(token, 0, "the backend server may return the packet");
     let outbound = agent.on_host_packet(at(1_002), &returned(&data_packet(1), token));
-    let inward = assert_matches!(outbound, Outbound::Inward(inbound) => inbound);
-    assert_matches!(inward.step, Step::Forward { .. });
+    let decision = assert_matches!(outbound, Outbound::Returned(inbound) => inbound);
+    assert_matches!(decision.action, InboundAction::Forward { .. });
 }
 
 /// Guards against the reset of a flow that is open on another host.
@@ -111,32 +124,32 @@
 fn a_late_copy_of_a_first_packet_ends_in_silence() {
     let begin = || {
         let mut agent = serving_agent();
-        agent.on_packet(at(1), &opening(1), &trip(&[3, 4], 0));
+        agent.on_packet(at(1), &opening(1), &forward_header(&[3, 4], 0));
         agent.on_host_packet(at(2), &answer(&opening(1), true, 0));
-        agent.on_packet(at(3), &opening(1), &trip(&[3, 4], 0));
+        agent.on_packet(at(3), &opening(1), &forward_header(&[3, 4], 0));
         agent
     };
     let mut agent = begin();
-    let (heard, gone) = agent.hear(at(5_000), heartbeat("i-2", 200, 1));
-    assert_eq!((heard, gone), (Heard::Started, Vec::new()));
-    assert_eq!(begin().leave(at(5_000), "i-1"), Some(Vec::new()));
+    let (effect, gone) = agent.on_heartbeat(at(5_000), heartbeat("i-2", 200, 1));
+    assert_eq!((effect, gone), (HeartbeatEffect::Started, Vec::new()));
+    assert_eq!(begin().on_leave(at(5_000), "i-1"), Some(Vec::new()));
     // The caller's next packet shows that the flow is here.
     let mut agent = begin();
-    agent.on_packet(at(4), &data_packet(1), &trip(&[3, 4], 0));
-    assert_eq!(agent.leave(at(5_000), "i-1").unwrap().len(), 1);
+    agent.on_packet(at(4), &data_packet(1), &forward_header(&[3, 4], 0));
+    assert_eq!(agent.on_leave(at(5_000), "i-1").unwrap().len(), 1);
 }
 
 /// Guards against delivery to another service at a reused address.
 #[test]
 fn an_opening_packet_of_another_service_is_passed_on() {
-    let other = Trip {
+    let other = ForwardHeader {
         service: ServiceKey::of("pedigree"),
-        ..trip(&[3, 4], 0)
+        ..forward_header(&[3, 4], 0)
     };
     let inbound = serving_agent().on_packet(at(1), &opening(1), &other);
     assert_matches!(
-        inbound.step,
-        Step::Forward {
+        inbound.action,
+        InboundAction::Forward {
             reason: ForwardReason::OtherService,
             ..
         }
@@ -148,17 +161,21 @@
 fn a_returned_packet_goes_to_the_next_candidate() {
     let mut agent = serving_agent();
     let caller = opening(1);
-    let inbound = agent.on_packet(at(1), &caller, &trip(&[3, 4], 0));
-    let token = assert_matches!(inbound.step, Step::Deliver { token, .. } => token);
+    let inbound = agent.on_packet(at(1), &caller, &forward_header(&[3, 4], 0));
+    let token = assert_matches!(inbound.action, InboundAction::Deliver { token, .. } => token);
     let outbound = agent.on_host_packet(at(2), &returned(&caller, token));
-    let inward = assert_matches!(outbound, Outbound::Inward(inbound) => inbound);
+    let decision = assert_matches!(outbound, Outbound::Returned(inbound) => inbound);
     assert_matches!(
-        inward.step,
-        Step::Forward { to, reason: ForwardReason::Returned, .. } if to == node(4)
+        decision.action,
+        InboundAction::Forward { to, reason: ForwardReason::Returned, .. } if to == node(4)
     );
     let again = agent.on_host_packet(at(3), &returned(&caller, token));
-    let inward = assert_matches!(again, Outbound::Inward(inbound) => inbound);
-    assert_eq!(inward.step, Step::Drop, "a token is valid once");
+    let decision = assert_matches!(again, Outbound::Returned(inbound) => inbound);
+    assert_eq!(
+        decision.action,
+        InboundAction::Drop,
+        "a token is valid once"
+    );
 }
 
 /// Guards against a restarted agent that loses or resets flows of its host.
@@ -167,52 +184,59 @@
     let mut agent = agent();
     // The backend server may hold flows even before its first heartbeat: the previous agent process
     // may have delivered some.
-    agent.hear(at(0), heartbeat("i-1", 100, 1));
-    let inbound = agent.on_packet(at(1), &data_packet(1), &trip(&[3, 4], 0));
+    agent.on_heartbeat(at(0), heartbeat("i-1", 100, 1));
+    let inbound = agent.on_packet(at(1), &data_packet(1), &forward_header(&[3, 4], 0));
     let token = assert_matches!(
-        inbound.step,
-        Step::Deliver { token, opening: false } if token != 0 => token
+        inbound.action,
+        InboundAction::Deliver { token, opening: false } if token != 0 => token
     );
     let outbound = agent.on_host_packet(at(2), &returned(&data_packet(1), token));
-    let inward = assert_matches!(outbound, Outbound::Inward(inbound) => inbound);
-    assert_matches!(inward.step, Step::Forward { to, .. } if to == node(4));
+    let decision = assert_matches!(outbound, Outbound::Returned(inbound) => inbound);
+    assert_matches!(decision.action, InboundAction::Forward { to, .. } if to == node(4));
     agent.on_host_packet(at(3), &answer(&data_packet(2), false, 100));
-    let inbound = agent.on_packet(at(4), &data_packet(2), &trip(&[4, 3], 1));
-    assert_matches!(inbound.step, Step::Deliver { token: 0, .. });
-    assert_eq!(inbound.tell, Some(node(9)), "the balancer learns the host");
+    let inbound = agent.on_packet(at(4), &data_packet(2), &forward_header(&[4, 3], 1));
+    assert_matches!(inbound.action, InboundAction::Deliver { token: 0, .. });
+    assert_eq!(
+        inbound.notify,
+        Some(node(9)),
+        "the balancer learns the host"
+    );
 }
 
 /// Guards against the loss of packets at hosts that do not hold their flow.
 #[test]
-fn a_flow_that_is_not_held_is_passed_on_to_the_end_of_the_trip() {
+fn a_flow_that_is_not_held_is_passed_on_to_the_last_candidate() {
     let mut agent = serving_agent();
-    let inbound = agent.on_packet(at(1), &data_packet(1), &trip(&[3, 4], 0));
+    let inbound = agent.on_packet(at(1), &data_packet(1), &forward_header(&[3, 4], 0));
     assert_matches!(
-        inbound.step,
-        Step::Forward {
+        inbound.action,
+        InboundAction::Forward {
             reason: ForwardReason::NotHeld,
             ..
         }
     );
-    let inbound = agent.on_packet(at(1), &data_packet(1), &trip(&[4, 3], 1));
-    assert_matches!(inbound.step, Step::Missing { origin, received: 77, .. } if origin == node(9));
+    let inbound = agent.on_packet(at(1), &data_packet(1), &forward_header(&[4, 3], 1));
+    assert_matches!(
+        inbound.action,
+        InboundAction::Missing { origin, received: 77, .. } if origin == node(9)
+    );
 }
 
 /// Guards against new flows for a backend server that stopped without notice.
 #[test]
 fn a_silent_backend_server_gets_one_trial_at_a_time() {
     let mut agent = serving_agent();
-    agent.on_packet(at(1), &opening(1), &trip(&[3, 4], 0));
-    let inbound = agent.on_packet(at(200), &opening(2), &trip(&[3, 4], 0));
+    agent.on_packet(at(1), &opening(1), &forward_header(&[3, 4], 0));
+    let inbound = agent.on_packet(at(200), &opening(2), &forward_header(&[3, 4], 0));
     assert_matches!(
-        inbound.step,
-        Step::Forward {
+        inbound.action,
+        InboundAction::Forward {
             reason: ForwardReason::Silent,
             ..
         }
     );
-    let trial = agent.on_packet(at(700), &opening(3), &trip(&[3, 4], 0));
-    assert_matches!(trial.step, Step::Deliver { opening: true, .. });
+    let trial = agent.on_packet(at(700), &opening(3), &forward_header(&[3, 4], 0));
+    assert_matches!(trial.action, InboundAction::Deliver { opening: true, .. });
     agent.on_host_packet(at(701), &answer(&opening(3), true, 0));
     assert!(agent.load(at(702)).working >= 1);
 }
@@ -222,7 +246,7 @@
 fn a_stopping_agent_takes_no_new_flow() {
     let mut agent = serving_agent();
     agent.stop();
-    let inbound = agent.on_packet(at(1), &opening(1), &trip(&[3, 4], 0));
-    assert_matches!(inbound.step, Step::Forward { .. });
+    let inbound = agent.on_packet(at(1), &opening(1), &forward_header(&[3, 4], 0));
+    assert_matches!(inbound.action, InboundAction::Forward { .. });
     assert_eq!(agent.state(), HostState::Draining);
 }
--- a/crates/forwarding/tests/balancer.rs
+++ b/crates/forwarding/tests/balancer.rs
@@ -4,8 +4,8 @@
 
 use assert_matches::assert_matches;
 use usher_forwarding::{
-    BalancerPath, Configuration, Directory, Flags, FlowKey, Found, Head, Hint, HostState, Load,
-    NodeId, Refused, Report, Route, ServiceKey, Verdict, View,
+    BalancerForwarder, Configuration, Flags, FlowKey, Hint, HostDirectory, HostSource, HostState,
+    Load, NodeId, PacketHeader, RejectReason, Report, Route, RoutingView, ServiceKey, Verdict,
 };
 use usher_types::{Sequence, Slots, Span, Time, Version};
 
@@ -31,7 +31,7 @@
         slots: Slots::new(4),
         warmup: Span::ZERO,
         load: Load::default(),
-        few: false,
+        relayed: false,
     }
 }
 
@@ -52,35 +52,38 @@
 
 // A balancer and three hosts of one service, which all reported at the same time.
 struct Fixture {
-    directory: Directory,
-    path: BalancerPath,
-    view: View,
+    directory: HostDirectory,
+    forwarder: BalancerForwarder,
+    view: RoutingView,
 }
 
 impl Fixture {
     fn new() -> Self {
-        let mut directory = Directory::new("kolkata".parse().unwrap(), Time::ZERO);
+        let mut directory = HostDirectory::new("kolkata".parse().unwrap(), Time::ZERO);
         for last in [3, 4, 5] {
-            directory.hear_direct(at(0), node(last), &report(1, SERVICE));
+            directory.on_direct_report(at(0), node(last), &report(1, SERVICE));
         }
-        let view = directory.view(configuration(1, SERVICE), &View::default());
-        let path = BalancerPath::new(node(9));
+        let view = directory.view(configuration(1, SERVICE), &RoutingView::default());
+        let forwarder = BalancerForwarder::new(node(9));
         Self {
             directory,
-            path,
+            forwarder,
             view,
         }
     }
 
-    fn hear(&mut self, millis: u64, last: u8, report: &Report) {
-        if self.directory.hear_direct(at(millis), node(last), report) {
+    fn on_report(&mut self, millis: u64, last: u8, report: &Report) {
+        if self
+            .directory
+            .on_direct_report(at(millis), node(last), report)
+        {
             self.publish();
         }
     }
 
     fn hear_all(&mut self, millis: u64, sequence: u32) {
         for last in [3, 4, 5] {
-            self.hear(millis, last, &report(sequence, SERVICE));
+            self.on_report(millis, last, &report(sequence, SERVICE));
         }
     }
 
@@ -89,19 +92,20 @@
         self.view = self.directory.view(configuration, &self.view);
     }
 
-    fn send(&mut self, millis: u64, head: &Head) -> Verdict {
-        self.path.on_packet(at(millis), head, &self.view)
+    fn send(&mut self, millis: u64, packet_header: &PacketHeader) -> Verdict {
+        self.forwarder
+            .on_packet(at(millis), packet_header, &self.view)
     }
 
     // Sends an opening packet and returns the host that the flow is placed on.
     fn place(&mut self, millis: u64, port: u16, copy: u32) -> NodeId {
         let verdict = self.send(millis, &opening(port, copy));
-        assert_matches!(verdict, Verdict::Send { to, how: Found::Placed { .. }, .. } => to)
+        assert_matches!(verdict, Verdict::Send { to, how: HostSource::Placed { .. }, .. } => to)
     }
 }
 
-fn head(port: u16, opening: bool) -> Head {
-    Head {
+fn packet_header(port: u16, opening: bool) -> PacketHeader {
+    PacketHeader {
         source: format!("100.64.0.7:{port}").parse().unwrap(),
         target: ADDRESS.parse().unwrap(),
         flags: Flags {
@@ -116,15 +120,15 @@
     }
 }
 
-fn opening(port: u16, copy: u32) -> Head {
-    Head {
+fn opening(port: u16, copy: u32) -> PacketHeader {
+    PacketHeader {
         acknowledged: copy,
-        ..head(port, true)
+        ..packet_header(port, true)
     }
 }
 
 fn flow(port: u16) -> FlowKey {
-    head(port, true).inbound()
+    packet_header(port, true).inbound()
 }
 
 /// Guards against flows that pile up on one host between two reports.
@@ -149,7 +153,7 @@
     assert_eq!(copies, placed);
     let first = placed[0];
     for last in [3, 4, 5].into_iter().filter(|last| node(*last) != first) {
-        fixture.hear(600, last, &report(2, SERVICE));
+        fixture.on_report(600, last, &report(2, SERVICE));
     }
     assert_ne!(fixture.place(610, 1, 2), first);
 }
@@ -163,11 +167,15 @@
             state,
             ..report(2, SERVICE)
         };
-        fixture.hear(5, 3, &report);
+        fixture.on_report(5, 3, &report);
         for port in 1..=9 {
             let verdict = fixture.send(10, &opening(port, 0));
-            let trip = assert_matches!(verdict, Verdict::Send { trip, .. } => trip);
-            assert!(!trip.candidates.as_slice().contains(&node(3)), "{state}");
+            let forward_header =
+                assert_matches!(verdict, Verdict::Send { forward_header, .. } => forward_header);
+            assert!(
+                !forward_header.candidates.as_slice().contains(&node(3)),
+                "{state}"
+            );
         }
     }
 }
@@ -184,8 +192,8 @@
 #[test]
 fn a_silent_host_is_forgotten_while_others_are_heard() {
     let mut fixture = Fixture::new();
-    fixture.hear(31_000, 4, &report(2, SERVICE));
-    fixture.hear(31_000, 5, &report(2, SERVICE));
+    fixture.on_report(31_000, 4, &report(2, SERVICE));
+    fixture.on_report(31_000, 5, &report(2, SERVICE));
     assert!(fixture.directory.expire(at(31_000)));
     assert_eq!(fixture.directory.agents().count(), 2);
 }
@@ -198,8 +206,8 @@
         state: HostState::Draining,
         ..report(5, SERVICE)
     };
-    fixture.hear(5, 3, &draining);
-    fixture.hear(6, 3, &report(4, SERVICE));
+    fixture.on_report(5, 3, &draining);
+    fixture.on_report(6, 3, &report(4, SERVICE));
     let state = fixture.directory.state(at(6), node(3)).unwrap().0;
     assert_eq!(state, HostState::Draining);
     // A new process of the agent restarts the sequence; reports of its predecessor are late.
@@ -207,8 +215,8 @@
         epoch: 2,
         ..report(1, SERVICE)
     };
-    fixture.hear(7, 3, &restarted);
-    fixture.hear(8, 3, &draining);
+    fixture.on_report(7, 3, &restarted);
+    fixture.on_report(8, 3, &draining);
     let state = fixture.directory.state(at(8), node(3)).unwrap().0;
     assert_eq!(state, HostState::Serving);
 }
@@ -219,16 +227,22 @@
 #[test]
 fn an_unknown_flow_is_searched_and_then_found() {
     let mut fixture = Fixture::new();
-    let verdict = fixture.send(10, &head(1, false));
-    let trip = assert_matches!(verdict, Verdict::Send { trip, how: Found::Searched, .. } => trip);
-    assert_eq!(trip.candidates.as_slice().len(), 3);
+    let verdict = fixture.send(10, &packet_header(1, false));
+    let forward_header = assert_matches!(
+        verdict,
+        Verdict::Send { forward_header, how: HostSource::Searched, .. } => forward_header
+    );
+    assert_eq!(forward_header.candidates.as_slice().len(), 3);
     let held = Hint::Held {
         flow: flow(1),
         node: node(5),
     };
-    assert_eq!(fixture.path.on_hint(at(11), &held, &fixture.view), None);
-    let verdict = fixture.send(12, &head(1, false));
-    assert_matches!(verdict, Verdict::Send { to, how: Found::Cached, .. } if to == node(5));
+    assert_eq!(
+        fixture.forwarder.on_hint(at(11), &held, &fixture.view),
+        None
+    );
+    let verdict = fixture.send(12, &packet_header(1, false));
+    assert_matches!(verdict, Verdict::Send { to, how: HostSource::Cached, .. } if to == node(5));
 }
 
 /// Guards against the loss of a flow whose route moves to another service.
@@ -236,17 +250,19 @@
 fn flows_are_searched_at_the_services_of_earlier_configurations() {
     let mut fixture = Fixture::new();
     for last in 10..30 {
-        fixture.hear(1, last, &report(1, "pedigree"));
+        fixture.on_report(1, last, &report(1, "pedigree"));
     }
     fixture.view = fixture
         .directory
         .view(configuration(2, "pedigree"), &fixture.view);
-    let verdict = fixture.send(10, &head(1, false));
-    let trip = assert_matches!(verdict, Verdict::Send { trip, .. } => trip);
-    assert_eq!(trip.candidates.as_slice().len(), 16);
+    let verdict = fixture.send(10, &packet_header(1, false));
+    let forward_header =
+        assert_matches!(verdict, Verdict::Send { forward_header, .. } => forward_header);
+    assert_eq!(forward_header.candidates.as_slice().len(), 16);
     let verdict = fixture.send(10, &opening(2, 0));
-    let trip = assert_matches!(verdict, Verdict::Send { trip, .. } => trip);
-    assert!(!trip.candidates.as_slice().contains(&node(3)));
+    let forward_header =
+        assert_matches!(verdict, Verdict::Send { forward_header, .. } => forward_header);
+    assert!(!forward_header.candidates.as_slice().contains(&node(3)));
 }
 
 /// Guards against a caller that waits at an address without a route.
@@ -259,13 +275,13 @@
     assert_matches!(
         verdict,
         Verdict::Reset {
-            reason: Refused::NoRoute,
+            reason: RejectReason::NoRoute,
             ..
         }
     );
-    fixture.view = View::default();
+    fixture.view = RoutingView::default();
     let verdict = fixture.send(10, &opening(1, 0));
-    assert_eq!(verdict, Verdict::Drop(Refused::Unconfigured));
+    assert_eq!(verdict, Verdict::Drop(RejectReason::Unconfigured));
 }
 
 /// Guards against the reset of a flow whose host may still run.
@@ -276,19 +292,25 @@
         received: 7,
     };
     let mut fixture = Fixture::new();
-    let unsettled = Some(Verdict::Drop(Refused::Unsettled));
-    let verdict = fixture.path.on_hint(at(100), &missing, &fixture.view);
+    let unsettled = Some(Verdict::Drop(RejectReason::Unsettled));
+    let verdict = fixture.forwarder.on_hint(at(100), &missing, &fixture.view);
     assert_eq!(verdict, unsettled, "hosts may not have been heard yet");
-    fixture.send(200, &head(1, false));
+    fixture.send(200, &packet_header(1, false));
     fixture.hear_all(6_000, 2);
-    let verdict = fixture.path.on_hint(at(6_000), &missing, &fixture.view);
+    let verdict = fixture
+        .forwarder
+        .on_hint(at(6_000), &missing, &fixture.view);
     assert_matches!(verdict, Some(Verdict::Reset { received: 7, .. }));
-    fixture.hear(7_000, 4, &report(3, SERVICE));
-    let verdict = fixture.path.on_hint(at(7_000), &missing, &fixture.view);
+    fixture.on_report(7_000, 4, &report(3, SERVICE));
+    let verdict = fixture
+        .forwarder
+        .on_hint(at(7_000), &missing, &fixture.view);
     assert_eq!(verdict, unsettled, "two hosts are not heard");
     fixture.hear_all(7_100, 4);
-    fixture.hear(7_100, 6, &report(1, SERVICE));
-    let verdict = fixture.path.on_hint(at(7_200), &missing, &fixture.view);
+    fixture.on_report(7_100, 6, &report(1, SERVICE));
+    let verdict = fixture
+        .forwarder
+        .on_hint(at(7_200), &missing, &fixture.view);
     assert_eq!(verdict, unsettled, "a host has just joined");
 }
 
@@ -299,10 +321,10 @@
 fn a_search_visits_all_hosts_of_a_large_service_before_it_gives_up() {
     let mut fixture = Fixture::new();
     for last in 10..47 {
-        fixture.hear(1, last, &report(1, SERVICE));
+        fixture.on_report(1, last, &report(1, SERVICE));
     }
     for last in 10..47 {
-        fixture.hear(6_000, last, &report(2, SERVICE));
+        fixture.on_report(6_000, last, &report(2, SERVICE));
     }
     fixture.hear_all(6_000, 2);
     let missing = Hint::Missing {
@@ -311,10 +333,13 @@
     };
     let mut visited = Vec::new();
     for _round in 0..3 {
-        let verdict = fixture.send(6_000, &head(1, false));
-        let trip = assert_matches!(verdict, Verdict::Send { trip, .. } => trip);
-        visited.extend_from_slice(trip.candidates.as_slice());
-        let verdict = fixture.path.on_hint(at(6_000), &missing, &fixture.view);
+        let verdict = fixture.send(6_000, &packet_header(1, false));
+        let forward_header =
+            assert_matches!(verdict, Verdict::Send { forward_header, .. } => forward_header);
+        visited.extend_from_slice(forward_header.candidates.as_slice());
+        let verdict = fixture
+            .forwarder
+            .on_hint(at(6_000), &missing, &fixture.view);
         assert_eq!(verdict.is_some(), visited.len() == 40, "{}", visited.len());
     }
     visited.sort();
@@ -327,14 +352,15 @@
 fn flows_of_a_large_service_are_placed_where_a_search_begins() {
     let mut fixture = Fixture::new();
     for last in 10..47 {
-        fixture.hear(1, last, &report(1, SERVICE));
+        fixture.on_report(1, last, &report(1, SERVICE));
     }
     for port in 1..100 {
         let host = fixture.place(10, port, 0);
-        let mut other = BalancerPath::new(node(8));
-        let verdict = other.on_packet(at(11), &head(port, false), &fixture.view);
-        let trip = assert_matches!(verdict, Verdict::Send { trip, .. } => trip);
-        assert!(trip.candidates.as_slice().contains(&host));
+        let mut other = BalancerForwarder::new(node(8));
+        let verdict = other.on_packet(at(11), &packet_header(port, false), &fixture.view);
+        let forward_header =
+            assert_matches!(verdict, Verdict::Send { forward_header, .. } => forward_header);
+        assert!(forward_header.candidates.as_slice().contains(&host));
     }
 }
 
@@ -349,15 +375,15 @@
             state: HostState::Ended,
             ..report(2, SERVICE)
         };
-        fixture.hear(5, last, &ended);
+        fixture.on_report(5, last, &ended);
     }
     let verdict = fixture.send(100, &opening(1, 0));
-    assert_eq!(verdict, Verdict::Drop(Refused::Unsettled));
+    assert_eq!(verdict, Verdict::Drop(RejectReason::Unsettled));
     let verdict = fixture.send(5_000, &opening(2, 0));
     assert_matches!(
         verdict,
         Verdict::Reset {
-            reason: Refused::NoHost,
+            reason: RejectReason::NoHost,
             ..
         }
     );
--- a/crates/forwarding/tests/exchange.rs
+++ b/crates/forwarding/tests/control_targets.rs
@@ -1,21 +1,22 @@
 //! Simulates the control traffic of a whole fleet, message by message, without a network.
 
 use usher_forwarding::{
-    Directory, Exchange, Fleet, Hello, HostState, Load, NodeId, Relayed, Report, ServiceKey,
+    ControlTargets, Digest, Fleet, Hello, HostDirectory, HostState, Load, NodeId, Report,
+    ServiceKey,
 };
 use usher_types::{DataCentre, Sequence, Slots, Span, Time, Version};
 
 const CENTRES: [&str; 3] = ["kolkata", "howrah", "barasat"];
 const STEP_MILLIS: u64 = 100;
 const HELLO_MILLIS: u64 = 300;
-const STRENGTH: &str = "0.05";
+const CAPACITY: &str = "0.05";
 
 struct Balancer {
     node: NodeId,
     centre: DataCentre,
     fleet: Fleet,
-    directory: Directory,
-    exchange: Exchange,
+    directory: HostDirectory,
+    targets: ControlTargets,
     version: Version,
     up: bool,
 }
@@ -63,10 +64,10 @@
                     node: balancer_node(index),
                     centre: centre(index),
                     fleet: Fleet::default(),
-                    directory: Directory::new(centre(index), now),
-                    exchange: Exchange::new(
+                    directory: HostDirectory::new(centre(index), now),
+                    targets: ControlTargets::new(
                         balancer_node(index),
-                        STRENGTH.parse().unwrap(),
+                        CAPACITY.parse().unwrap(),
                         centre(index),
                     ),
                     version: Version::new(1),
@@ -98,12 +99,12 @@
             .collect();
         for balancer in &mut self.balancers {
             for node in nodes.iter().filter(|node| **node != balancer.node) {
-                balancer.fleet.learn(self.now, *node);
+                balancer.fleet.add(self.now, *node);
             }
         }
         for agent in &mut self.agents {
             for node in &nodes {
-                agent.fleet.learn(self.now, *node);
+                agent.fleet.add(self.now, *node);
             }
         }
     }
@@ -132,15 +133,15 @@
                 slots: Slots::new(4),
                 warmup: Span::ZERO,
                 load: Load::default(),
-                few: agent.fleet.reports_to_few(),
+                relayed: agent.fleet.reports_to_few(),
             };
             agent.sequence = agent.sequence.next();
             let (node, centre) = (agent.node, agent.centre.clone());
             for relay in agent.fleet.relays(self.now, node, &centre) {
                 let now = self.now;
                 if let Some(balancer) = self.send_to(relay, &centre) {
-                    balancer.exchange.hear_agent(now, node);
-                    balancer.directory.hear_direct(now, node, &report);
+                    balancer.targets.on_agent_report(now, node);
+                    balancer.directory.on_direct_report(now, node, &report);
                 }
             }
         }
@@ -154,8 +155,8 @@
                 continue;
             }
             let (node, centre) = (from.node, from.centre.clone());
-            let digests = from.exchange.digests(now, &from.fleet, &mut from.directory);
-            for Relayed { to, reports } in digests {
+            let digests = from.targets.digests(now, &from.fleet, &mut from.directory);
+            for Digest { to, reports } in digests {
                 if reports.is_empty() {
                     continue;
                 }
@@ -165,7 +166,7 @@
                         let from = balancer.fleet.centre(node).cloned();
                         for (agent, report) in &reports {
                             let directory = &mut balancer.directory;
-                            directory.hear_relayed(now, *agent, report, from.as_ref());
+                            directory.on_relayed_report(now, *agent, report, from.as_ref());
                         }
                     }
                 }
@@ -186,26 +187,26 @@
                 version: from.version,
                 leaving: false,
                 centre: centre.clone(),
-                strength: STRENGTH.parse().unwrap(),
+                capacity: CAPACITY.parse().unwrap(),
                 balancers: Vec::new(),
                 agents: Vec::new(),
                 ask: false,
             };
-            let agents = from.exchange.agents(now, &from.fleet, &from.directory);
-            let greeted = from.exchange.balancers(now, &mut from.fleet);
+            let agents = from.targets.hello_agents(now, &from.fleet, &from.directory);
+            let greeted = from.targets.hello_balancers(now, &mut from.fleet);
             self.sent[index] += agents.len() + greeted.len();
             for agent in agents {
                 let agent = self.agents.iter_mut().find(|other| other.node == agent);
                 let agent = agent.unwrap();
                 let near = agent.centre == centre;
-                agent.fleet.hear(now, node, &hello);
+                agent.fleet.on_hello(now, node, &hello);
                 self.local_messages += usize::from(near);
                 self.remote_messages += usize::from(!near);
             }
             for (receiver, ask) in greeted {
                 hello.ask = ask;
                 if let Some(balancer) = self.send_to(receiver, &centre) {
-                    balancer.fleet.hear(now, node, &hello);
+                    balancer.fleet.on_hello(now, node, &hello);
                     // A balancer fetches a newer version that a hello names.
                     balancer.version = balancer.version.max(hello.version);
                 }
--- a/crates/forwarding/tests/fleet.rs
+++ b/crates/forwarding/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! The balancers that a process knows and sends to, and the active configuration.
 
-use usher_forwarding::{Configuration, Departures, Fleet, Hello, InForce, NodeId};
+use usher_forwarding::{ActiveConfiguration, Configuration, Fleet, Hello, NodeId, StaleEntries};
 use usher_types::{Span, Time, Version};
 
 fn node(last: u8) -> NodeId {
@@ -17,7 +17,7 @@
         version: Version::new(version),
         leaving: false,
         centre: "kolkata".parse().unwrap(),
-        strength: "0.055".parse().unwrap(),
+        capacity: "0.055".parse().unwrap(),
         balancers: Vec::new(),
         agents: Vec::new(),
         ask: true,
@@ -30,8 +30,8 @@
 #[test]
 fn silent_balancers_are_tried_now_and_then() {
     let mut fleet = Fleet::default();
-    fleet.learn(at(0), node(1));
-    fleet.hear(at(0), node(2), &hello(1, 5));
+    fleet.add(at(0), node(1));
+    fleet.on_hello(at(0), node(2), &hello(1, 5));
     assert_eq!(fleet.due(at(0)), [node(1), node(2)]);
     assert_eq!(fleet.due(at(100)), [node(2)]);
     assert_eq!(fleet.due(at(1_000)), [node(1), node(2)]);
@@ -43,10 +43,10 @@
 #[test]
 fn nobody_is_forgotten_while_nobody_is_heard() {
     let mut fleet = Fleet::default();
-    fleet.hear(at(0), node(1), &hello(1, 5));
-    fleet.hear(at(0), node(2), &hello(1, 5));
+    fleet.on_hello(at(0), node(1), &hello(1, 5));
+    fleet.on_hello(at(0), node(2), &hello(1, 5));
     assert_eq!(fleet.expire(at(120_000)), []);
-    fleet.hear(at(120_000), node(2), &hello(1, 5));
+    fleet.on_hello(at(120_000), node(2), &hello(1, 5));
     assert_eq!(fleet.expire(at(120_000)), [node(1)]);
 }
 
@@ -54,13 +54,13 @@
 #[test]
 fn a_balancer_with_a_newer_configuration_is_found() {
     let mut fleet = Fleet::default();
-    fleet.hear(at(0), node(1), &hello(1, 5));
-    fleet.hear(at(0), node(2), &hello(1, 9));
-    let ahead = fleet.ahead(at(10), Version::new(5));
-    assert_eq!(ahead, Some((node(2), Version::new(9))));
-    assert_eq!(fleet.ahead(at(10), Version::new(9)), None);
+    fleet.on_hello(at(0), node(1), &hello(1, 5));
+    fleet.on_hello(at(0), node(2), &hello(1, 9));
+    let newest_peer = fleet.newest_peer(at(10), Version::new(5));
+    assert_eq!(newest_peer, Some((node(2), Version::new(9))));
+    assert_eq!(fleet.newest_peer(at(10), Version::new(9)), None);
     assert_eq!(
-        fleet.ahead(at(5_000), Version::new(5)),
+        fleet.newest_peer(at(5_000), Version::new(5)),
         None,
         "it is silent"
     );
@@ -72,12 +72,12 @@
 #[test]
 fn a_process_need_not_start_later_than_its_predecessor() {
     let mut fleet = Fleet::default();
-    assert!(fleet.hear(at(0), node(1), &hello(100, 5)));
-    assert!(!fleet.hear(at(1), node(1), &hello(100, 5)));
-    assert!(fleet.hear(at(2), node(1), &hello(50, 6)));
-    assert!(!fleet.hear(at(3), node(1), &hello(100, 9)));
+    assert!(fleet.on_hello(at(0), node(1), &hello(100, 5)));
+    assert!(!fleet.on_hello(at(1), node(1), &hello(100, 5)));
+    assert!(fleet.on_hello(at(2), node(1), &hello(50, 6)));
+    assert!(!fleet.on_hello(at(3), node(1), &hello(100, 9)));
     assert_eq!(
-        fleet.ahead(at(4), Version::new(5)),
+        fleet.newest_peer(at(4), Version::new(5)),
         Some((node(1), Version::new(6)))
     );
 }
@@ -86,7 +86,7 @@
 /// read, a late answer, a balancer that is behind, or the same document twice.
 #[test]
 fn the_configuration_in_force_never_goes_back() {
-    let mut in_force = InForce::default();
+    let mut active_configuration = ActiveConfiguration::default();
     let cases = [(5, true), (4, false), (5, false), (9, true), (6, false)];
     for (version, adopted) in cases {
         let version = Version::new(version);
@@ -94,15 +94,15 @@
             version,
             ..Configuration::default()
         };
-        assert_eq!(in_force.adopt(offered), adopted, "{version}");
+        assert_eq!(active_configuration.adopt(offered), adopted, "{version}");
     }
-    assert_eq!(in_force.version(), Version::new(9));
+    assert_eq!(active_configuration.version(), Version::new(9));
 }
 
 fn hello_from(epoch: u64, cores: &str, centre: &str) -> Hello {
     Hello {
         centre: centre.parse().unwrap(),
-        strength: cores.parse().unwrap(),
+        capacity: cores.parse().unwrap(),
         ..hello(epoch, 5)
     }
 }
@@ -115,12 +115,12 @@
     let centre = "kolkata".parse().unwrap();
     let mut fleet = Fleet::default();
     for last in 1..=8 {
-        fleet.hear(at(0), node(last), &hello_from(1, "0.028", "howrah"));
+        fleet.on_hello(at(0), node(last), &hello_from(1, "0.028", "howrah"));
     }
     assert_eq!(fleet.relays(at(0), node(99), &centre).len(), 8);
     for last in 9..=12 {
         let cores = if last > 10 { "0.5" } else { "0.028" };
-        fleet.hear(at(0), node(last), &hello_from(1, cores, "kolkata"));
+        fleet.on_hello(at(0), node(last), &hello_from(1, cores, "kolkata"));
     }
     let mut chosen = Vec::new();
     for agent in 20..80 {
@@ -149,25 +149,25 @@
     let weak = "0.028".parse().unwrap();
     let mut fleet = Fleet::default();
     assert!(
-        !fleet.stands_by(at(0), node(1), weak, &centre),
+        !fleet.is_standby(at(0), node(1), weak, &centre),
         "it is alone"
     );
-    fleet.hear(at(0), node(2), &hello_from(1, "0.028", "kolkata"));
-    fleet.hear(at(0), node(3), &hello_from(1, "0.5", "kolkata"));
-    fleet.hear(at(0), node(4), &hello_from(1, "0.5", "howrah"));
+    fleet.on_hello(at(0), node(2), &hello_from(1, "0.028", "kolkata"));
+    fleet.on_hello(at(0), node(3), &hello_from(1, "0.5", "kolkata"));
+    fleet.on_hello(at(0), node(4), &hello_from(1, "0.5", "howrah"));
     // Three are known, so two are needed: the strong one and the first of the weak ones.
-    assert!(!fleet.stands_by(at(0), node(1), weak, &centre));
-    fleet.hear(at(0), node(5), &hello_from(1, "0.5", "kolkata"));
-    assert!(fleet.stands_by(at(0), node(1), weak, &centre));
-    fleet.hear(at(1_500), node(3), &hello_from(1, "0.5", "kolkata"));
-    fleet.hear(at(1_500), node(2), &hello_from(1, "0.028", "kolkata"));
+    assert!(!fleet.is_standby(at(0), node(1), weak, &centre));
+    fleet.on_hello(at(0), node(5), &hello_from(1, "0.5", "kolkata"));
+    assert!(fleet.is_standby(at(0), node(1), weak, &centre));
+    fleet.on_hello(at(1_500), node(3), &hello_from(1, "0.5", "kolkata"));
+    fleet.on_hello(at(1_500), node(2), &hello_from(1, "0.028", "kolkata"));
     assert!(
-        !fleet.stands_by(at(1_500), node(1), weak, &centre),
+        !fleet.is_standby(at(1_500), node(1), weak, &centre),
         "a strong one is silent"
     );
     let equal = "0.2".parse().unwrap();
-    fleet.hear(at(1_500), node(5), &hello_from(1, "0.5", "kolkata"));
-    assert!(!fleet.stands_by(at(1_500), node(1), equal, &centre));
+    fleet.on_hello(at(1_500), node(5), &hello_from(1, "0.5", "kolkata"));
+    assert!(!fleet.is_standby(at(1_500), node(1), equal, &centre));
 }
 
 /// Guards against store entries of balancers that are gone.
@@ -176,9 +176,9 @@
 #[test]
 fn entries_of_silent_balancers_are_removed_once() {
     let listed = [node(1), node(2), node(3), node(4)];
-    let mut first = Departures::default();
-    let mut second = Departures::default();
-    let mut alone = Departures::default();
+    let mut first = StaleEntries::default();
+    let mut second = StaleEntries::default();
+    let mut alone = StaleEntries::default();
     for seconds in [0, 15, 30, 45, 59] {
         let now = at(seconds * 1_000);
         assert_eq!(first.observe(now, node(1), &listed, &[node(2)]), []);
@@ -208,11 +208,11 @@
     let kolkata = "kolkata".parse().unwrap();
     let mut fleet = Fleet::default();
     for last in 1..=6 {
-        fleet.hear(at(0), node(last), &hello_from(1, "0.5", "howrah"));
+        fleet.on_hello(at(0), node(last), &hello_from(1, "0.5", "howrah"));
     }
-    fleet.hear(at(0), node(7), &hello_from(1, "0.5", "kolkata"));
+    fleet.on_hello(at(0), node(7), &hello_from(1, "0.5", "kolkata"));
     assert!(fleet.watches(node(1), &kolkata), "the fleet is small");
-    fleet.learn(at(0), node(8));
+    fleet.add(at(0), node(8));
     assert!(!fleet.watches(node(1), &kolkata));
     assert!(fleet.watches(node(7), &kolkata));
     assert!(
@@ -220,6 +220,6 @@
         "its data centre is not known"
     );
     assert_eq!(fleet.watchers(at(0), &kolkata), [node(7)]);
-    fleet.hear(at(2_000), node(1), &hello_from(1, "0.5", "howrah"));
+    fleet.on_hello(at(2_000), node(1), &hello_from(1, "0.5", "howrah"));
     assert_eq!(fleet.watchers(at(2_000), &kolkata), [node(1)]);
 }
--- a/crates/forwarding/tests/world/model.rs
+++ b/crates/forwarding/tests/world/model.rs
@@ -5,8 +5,8 @@
 
 use proptest::sample::Index;
 use usher_forwarding::{
-    AgentPath, BalancerPath, Configuration, Directory, Flags, FlowKey, Head, Hint, HostWord,
-    NodeId, Report, Route, ServiceKey, Trip, View,
+    AgentForwarder, BalancerForwarder, Configuration, Flags, FlowKey, ForwardHeader, Hint,
+    HostDirectory, HostHeartbeat, NodeId, PacketHeader, Report, Route, RoutingView, ServiceKey,
 };
 use usher_types::{Sequence, Slots, Span, Time, Version};
 
@@ -34,26 +34,26 @@
 
 #[derive(Debug, Clone)]
 enum Message {
-    ToBalancer(usize, Head),
-    ToAgent(NodeId, Head, Trip),
-    ToHost(NodeId, Head),
-    FromHost(NodeId, Head),
+    ToBalancer(usize, PacketHeader),
+    ToAgent(NodeId, PacketHeader, ForwardHeader),
+    ToHost(NodeId, PacketHeader),
+    FromHost(NodeId, PacketHeader),
     HintTo(NodeId, Hint),
-    ToCaller(Head),
+    ToCaller(PacketHeader),
     Reset(FlowKey),
 }
 
 struct Balancer {
-    path: BalancerPath,
-    directory: Directory,
-    view: View,
+    forwarder: BalancerForwarder,
+    directory: HostDirectory,
+    view: RoutingView,
 }
 
 struct Host {
     service: usize,
-    word: HostWord,
+    heartbeat: HostHeartbeat,
     flows: HashSet<FlowKey>,
-    agent: AgentPath,
+    agent: AgentForwarder,
     epoch: u64,
     reports: u32,
     processes: u64,
@@ -115,8 +115,8 @@
     })
 }
 
-fn head(flow: &FlowKey, opening: bool) -> Head {
-    Head {
+fn packet_header(flow: &FlowKey, opening: bool) -> PacketHeader {
+    PacketHeader {
         source: flow.caller,
         target: flow.address,
         flags: Flags {
@@ -167,17 +167,17 @@
     }
 
     fn new_balancer(&self, balancer: usize) -> Balancer {
-        let directory = Directory::new("kolkata".parse().unwrap(), self.now);
+        let directory = HostDirectory::new("kolkata".parse().unwrap(), self.now);
         Balancer {
-            path: BalancerPath::new(balancer_node(balancer)),
-            view: directory.view(configuration(), &View::default()),
+            forwarder: BalancerForwarder::new(balancer_node(balancer)),
+            view: directory.view(configuration(), &RoutingView::default()),
             directory,
         }
     }
 
     fn new_host(&mut self, host: usize, service: usize, process: u64) -> Host {
         self.epochs += 1;
-        let word = HostWord {
+        let heartbeat = HostHeartbeat {
             id: format!("i-{host}-{process}"),
             service: SERVICES[service].to_owned(),
             born: 1_000 + self.now.as_micros(),
@@ -186,11 +186,12 @@
             draining: false,
             warmup: Span::ZERO,
         };
-        let mut agent = AgentPath::new(host_node(host), SERVICES[service], self.now, FLOW_LIFE);
-        agent.hear(self.now, word.clone());
+        let mut agent =
+            AgentForwarder::new(host_node(host), SERVICES[service], self.now, FLOW_LIFE);
+        agent.on_heartbeat(self.now, heartbeat.clone());
         Host {
             service,
-            word,
+            heartbeat,
             flows: HashSet::new(),
             agent,
             epoch: self.epochs,
@@ -215,7 +216,7 @@
                 self.callers.insert(flow, caller);
                 self.opened.push(flow);
                 self.queue
-                    .push_back(Message::ToBalancer(*via, head(&flow, true)));
+                    .push_back(Message::ToBalancer(*via, packet_header(&flow, true)));
             }
             Op::Send { via, flow } => {
                 if !self.opened.is_empty() {
@@ -229,7 +230,7 @@
             Op::RestartAgent { agent } => self.restart_agent(*agent),
             Op::RestartHost { host } => self.restart_host(*host),
             Op::Drain { host } => {
-                self.hosts[*host].word.draining = true;
+                self.hosts[*host].heartbeat.draining = true;
                 self.beat(*host);
             }
             Op::Replace { host, service } => {
@@ -284,7 +285,7 @@
     fn send(&mut self, via: usize, flow: FlowKey) {
         if self.callers[&flow].open.is_some() {
             self.queue
-                .push_back(Message::ToBalancer(via, head(&flow, false)));
+                .push_back(Message::ToBalancer(via, packet_header(&flow, false)));
         }
     }
 
@@ -292,8 +293,8 @@
         let now = self.now;
         let host = &mut self.hosts[host];
         host.next_beat = now + HEARTBEAT_INTERVAL;
-        host.word.sequence = host.word.sequence.next();
-        let (_, gone) = host.agent.hear(now, host.word.clone());
+        host.heartbeat.sequence = host.heartbeat.sequence.next();
+        let (_, gone) = host.agent.on_heartbeat(now, host.heartbeat.clone());
         for (flow, _) in gone {
             self.queue.push_back(Message::Reset(flow));
         }
@@ -304,7 +305,7 @@
         let host = &mut self.hosts[agent];
         host.epoch = self.epochs;
         host.reports = 0;
-        host.agent = AgentPath::new(
+        host.agent = AgentForwarder::new(
             host_node(agent),
             SERVICES[host.service],
             self.now,
@@ -319,10 +320,10 @@
     fn restart_host(&mut self, host: usize) {
         self.hosts[host].flows.clear();
         self.hosts[host].processes += 1;
-        let word = &mut self.hosts[host].word;
-        word.born += 1;
-        word.draining = false;
-        word.sequence = Sequence::new(0);
+        let heartbeat = &mut self.hosts[host].heartbeat;
+        heartbeat.born += 1;
+        heartbeat.draining = false;
+        heartbeat.sequence = Sequence::new(0);
         if self.next_random().is_multiple_of(2) {
             self.beat(host);
         }
@@ -349,25 +350,25 @@
     fn report(&mut self, index: usize) {
         let host = &mut self.hosts[index];
         host.reports += 1;
-        let word = host.agent.word();
+        let heartbeat = host.agent.heartbeat();
         let report = Report {
             epoch: host.epoch,
             sequence: Sequence::new(host.reports),
             centre: "kolkata".parse().unwrap(),
             service: ServiceKey::of(SERVICES[host.service]),
             state: host.agent.state(),
-            born: word.map_or(0, |word| word.born),
+            born: heartbeat.map_or(0, |heartbeat| heartbeat.born),
             slots: Slots::new(SLOTS),
             warmup: Span::ZERO,
             load: host.agent.load(self.now),
-            few: false,
+            relayed: false,
         };
         for balancer in 0..BALANCERS {
             if self.lossy && self.next_random().is_multiple_of(LOSS_ONE_IN) {
                 continue;
             }
             let directory = &mut self.balancers[balancer].directory;
-            directory.hear_direct(self.now, host_node(index), &report);
+            directory.on_direct_report(self.now, host_node(index), &report);
         }
     }
 }
--- a/crates/forwarding/tests/world/model/traffic.rs
+++ b/crates/forwarding/tests/world/model/traffic.rs
@@ -1,8 +1,10 @@
 //! Delivery of each message to the node that it is for.
 
-use usher_forwarding::{Flags, FlowKey, Head, Hint, Inbound, NodeId, Outbound, Step, Verdict};
+use usher_forwarding::{
+    Flags, FlowKey, Hint, Inbound, InboundAction, NodeId, Outbound, PacketHeader, Verdict,
+};
 
-use super::{LOSS_ONE_IN, Message, SERVICES, SLOTS, World, head, host_node, host_of};
+use super::{LOSS_ONE_IN, Message, SERVICES, SLOTS, World, host_node, host_of, packet_header};
 
 impl World {
     // Delivers messages in the order in which they were sent, until none is left.
@@ -24,38 +26,45 @@
 
     fn deliver(&mut self, message: &Message) {
         match *message {
-            Message::ToBalancer(index, head) => {
+            Message::ToBalancer(index, packet_header) => {
                 let balancer = &mut self.balancers[index];
-                let verdict = balancer.path.on_packet(self.now, &head, &balancer.view);
-                self.carry_out(&verdict, Some(head));
+                let verdict =
+                    balancer
+                        .forwarder
+                        .on_packet(self.now, &packet_header, &balancer.view);
+                self.carry_out(&verdict, Some(packet_header));
             }
             Message::HintTo(node, hint) => {
                 let balancer = &mut self.balancers[host_of(node)];
-                let verdict = balancer.path.on_hint(self.now, &hint, &balancer.view);
+                let verdict = balancer.forwarder.on_hint(self.now, &hint, &balancer.view);
                 if let Some(verdict) = verdict {
                     self.carry_out(&verdict, None);
                 }
             }
-            Message::ToAgent(node, head, trip) => {
+            Message::ToAgent(node, packet_header, forward_header) => {
                 let agent = &mut self.hosts[host_of(node)].agent;
-                let inbound = agent.on_packet(self.now, &head, &trip);
-                self.on_inbound(node, head, &inbound);
+                let inbound = agent.on_packet(self.now, &packet_header, &forward_header);
+                self.on_inbound(node, packet_header, &inbound);
             }
-            Message::ToHost(node, head) => self.receive_at_host(node, head),
-            Message::FromHost(node, head) => {
+            Message::ToHost(node, packet_header) => self.receive_at_host(node, packet_header),
+            Message::FromHost(node, packet_header) => {
                 let agent = &mut self.hosts[host_of(node)].agent;
-                match agent.on_host_packet(self.now, &head) {
-                    Outbound::ToCaller { .. } => self.queue.push_back(Message::ToCaller(head)),
-                    Outbound::Inward(inbound) => {
-                        let mut head = head;
-                        head.flags.returned = false;
-                        head.token = 0;
-                        self.on_inbound(node, head, &inbound);
+                match agent.on_host_packet(self.now, &packet_header) {
+                    Outbound::ToCaller { .. } => {
+                        self.queue.push_back(Message::ToCaller(packet_header));
+                    }
+                    Outbound::Returned(inbound) => {
+                        let mut packet_header = packet_header;
+                        packet_header.flags.returned = false;
+                        packet_header.token = 0;
+                        self.on_inbound(node, packet_header, &inbound);
                     }
                 }
                 self.release(host_of(node));
             }
-            Message::ToCaller(head) => self.receive_at_caller(flow_of(&head), &head),
+            Message::ToCaller(packet_header) => {
+                self.receive_at_caller(flow_of(&packet_header), &packet_header);
+            }
             Message::Reset(flow) => {
                 if self.is_held(&flow) {
                     self.violations
@@ -65,28 +74,40 @@
         }
     }
 
-    fn carry_out(&mut self, verdict: &Verdict, head: Option<Head>) {
-        match (verdict, head) {
-            (Verdict::Send { to, trip, .. }, Some(head)) => {
-                self.queue.push_back(Message::ToAgent(*to, head, *trip));
+    fn carry_out(&mut self, verdict: &Verdict, packet_header: Option<PacketHeader>) {
+        match (verdict, packet_header) {
+            (
+                Verdict::Send {
+                    to, forward_header, ..
+                },
+                Some(packet_header),
+            ) => {
+                self.queue
+                    .push_back(Message::ToAgent(*to, packet_header, *forward_header));
             }
             (Verdict::Reset { flow, .. }, _) => self.queue.push_back(Message::Reset(*flow)),
             _ => {}
         }
     }
 
-    fn on_inbound(&mut self, node: NodeId, head: Head, inbound: &Inbound) {
-        let flow = head.inbound();
-        match inbound.step {
-            Step::Deliver { token, .. } => {
-                let head = Head { token, ..head };
-                self.queue.push_back(Message::ToHost(node, head));
+    fn on_inbound(&mut self, node: NodeId, packet_header: PacketHeader, inbound: &Inbound) {
+        let flow = packet_header.inbound();
+        match inbound.action {
+            InboundAction::Deliver { token, .. } => {
+                let packet_header = PacketHeader {
+                    token,
+                    ..packet_header
+                };
+                self.queue.push_back(Message::ToHost(node, packet_header));
             }
-            Step::Forward { to, trip, .. } => {
-                self.queue.push_back(Message::ToAgent(to, head, trip));
+            InboundAction::Forward {
+                to, forward_header, ..
+            } => {
+                self.queue
+                    .push_back(Message::ToAgent(to, packet_header, forward_header));
             }
-            Step::Refuse { flow, .. } => self.queue.push_back(Message::Reset(flow)),
-            Step::Missing {
+            InboundAction::Refuse { flow, .. } => self.queue.push_back(Message::Reset(flow)),
+            InboundAction::Missing {
                 flow,
                 origin,
                 received,
@@ -94,9 +115,9 @@
                 let hint = Hint::Missing { flow, received };
                 self.queue.push_back(Message::HintTo(origin, hint));
             }
-            Step::Hold | Step::Drop => {}
+            InboundAction::Hold | InboundAction::Drop => {}
         }
-        if let Some(origin) = inbound.tell {
+        if let Some(origin) = inbound.notify {
             let hint = Hint::Held { flow, node };
             self.queue.push_back(Message::HintTo(origin, hint));
         }
@@ -104,13 +125,13 @@
 
     pub(super) fn release(&mut self, host: usize) {
         for release in self.hosts[host].agent.release(self.now) {
-            let head = head(&release.flow, true);
-            self.on_inbound(host_node(host), head, &release.inbound);
+            let packet_header = packet_header(&release.flow, true);
+            self.on_inbound(host_node(host), packet_header, &release.inbound);
         }
     }
 
     // The backend server: takes a packet of a flow or returns it.
-    fn receive_at_host(&mut self, node: NodeId, packet: Head) {
+    fn receive_at_host(&mut self, node: NodeId, packet: PacketHeader) {
         let host = &mut self.hosts[host_of(node)];
         let flow = packet.inbound();
         let service = self.callers[&flow].service;
@@ -130,7 +151,7 @@
         if !packet.opens() {
             self.reached.insert(flow);
         }
-        let answer = Head {
+        let answer = PacketHeader {
             source: packet.target,
             target: packet.source,
             flags: Flags {
@@ -148,7 +169,7 @@
     }
 
     // The caller: a flow is open at the host whose answer comes first.
-    fn receive_at_caller(&mut self, flow: FlowKey, answer: &Head) {
+    fn receive_at_caller(&mut self, flow: FlowKey, answer: &PacketHeader) {
         let Some(caller) = self.callers.get_mut(&flow) else {
             return;
         };
@@ -159,6 +180,6 @@
     }
 }
 
-fn flow_of(answer: &Head) -> FlowKey {
+fn flow_of(answer: &PacketHeader) -> FlowKey {
     answer.outbound()
 }
--- a/crates/node/examples/cost.rs
+++ b/crates/node/examples/cost.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use usher_platform_standin::{Process, World, eventually, receive};
+use usher_platform_standin::{Deployment, Process, eventually, receive};
 
 const NET: u8 = 31;
 const PACKETS: u32 = 100_000;
@@ -20,12 +20,15 @@
 fn main() {
     let program = std::env::args().nth(1).expect("the path of the node");
     let folder = std::env::temp_dir();
-    let world = World::start(NET, Path::new(&program), &folder);
-    eventually("the balancer is ready", || world.ready() == 200);
+    let deployment = Deployment::start(NET, Path::new(&program), &folder);
+    eventually("the balancer is ready", || deployment.ready() == 200);
     eventually("a heartbeat is acknowledged", || {
-        world.heartbeat("ready", 1) == 200
+        deployment.heartbeat("ready", 1) == 200
     });
-    let nodes = [("balancer", &world.balancer), ("agent", &world.agent)];
+    let nodes = [
+        ("balancer", &deployment.balancer),
+        ("agent", &deployment.agent),
+    ];
     let start = nodes.map(|(_, node)| micros(node));
     thread::sleep(IDLE_TIME);
     for ((name, node), before) in nodes.iter().zip(start) {
@@ -37,10 +40,10 @@
         );
     }
     // Sends later packets of one flow; another thread drains the backend server's socket.
-    let mut packet = world.await_flow(1_000);
+    let mut packet = deployment.await_flow(1_000);
     packet[14..18].fill(0);
     packet[18] = ACK_FLAG;
-    let backend = world.backend.try_clone().expect("a socket");
+    let backend = deployment.backend.try_clone().expect("a socket");
     thread::spawn(move || while receive(&backend).is_some() {});
     let before = nodes.map(|(_, node)| (micros(node), switches(node)));
     let begin = Instant::now();
@@ -48,7 +51,7 @@
         while begin.elapsed() < SEND_INTERVAL * number {
             thread::sleep(SEND_INTERVAL);
         }
-        world.send(&packet);
+        deployment.send(&packet);
     }
     thread::sleep(Duration::from_millis(500));
     for ((name, node), (time, waits)) in nodes.iter().zip(before) {
--- a/crates/node/src/agent/calls.rs
+++ b/crates/node/src/agent/calls.rs
@@ -1,5 +1,5 @@
-use usher_forwarding::Heard;
-use usher_platform::{Call, heartbeat, heartbeat_reply};
+use usher_forwarding::HeartbeatEffect;
+use usher_platform::{Call, decode_heartbeat, heartbeat_reply};
 
 use super::control::Control;
 use crate::event;
@@ -24,7 +24,7 @@
     }
 
     fn on_heartbeat(&self, id: &str, body: &[u8]) -> u16 {
-        let update = match heartbeat(id, body) {
+        let update = match decode_heartbeat(id, body) {
             Ok(update) => update,
             Err(fault) => {
                 event::HEARTBEAT_REFUSED.log(&[("id", &id), ("fault", &fault)]);
@@ -34,21 +34,21 @@
         let now = usher_clock::now();
         let (born, sequence, slots) = (update.born, update.sequence, update.slots);
         let service = update.service.clone();
-        let (change, ended) = self.shared.path().hear(now, update);
+        let (change, ended) = self.shared.forwarder().on_heartbeat(now, update);
         for (flow, received) in &ended {
             self.shared.reset(flow, *received);
             event::FLOW_RESET.log(&[("flow", flow), ("reason", &"backend-restarted")]);
         }
-        let state = self.shared.path().state();
+        let state = self.shared.forwarder().state();
         let event = match change {
-            Heard::Started => event::BACKEND_STARTED,
-            Heard::Changed => event::BACKEND_CHANGED,
-            Heard::Late => event::HEARTBEAT_LATE,
-            Heard::Foreign => {
+            HeartbeatEffect::Started => event::BACKEND_STARTED,
+            HeartbeatEffect::Changed => event::BACKEND_CHANGED,
+            HeartbeatEffect::Late => event::HEARTBEAT_LATE,
+            HeartbeatEffect::Foreign => {
                 event::HEARTBEAT_REFUSED.log(&[("id", &id), ("service", &service)]);
                 return 400;
             }
-            Heard::Confirmed => return 200,
+            HeartbeatEffect::Confirmed => return 200,
         };
         event.log(&[
             ("id", &id),
@@ -63,7 +63,7 @@
 
     fn on_leave(&self, id: &str) {
         let now = usher_clock::now();
-        let ended = self.shared.path().leave(now, id);
+        let ended = self.shared.forwarder().on_leave(now, id);
         let Some(ended) = ended else {
             event::HEARTBEAT_LATE.log(&[("id", &id), ("call", &"leave")]);
             return;
--- a/crates/node/src/agent/control.rs
+++ b/crates/node/src/agent/control.rs
@@ -8,7 +8,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{MissedTickBehavior, interval};
 use usher_clock::SuspendWatch;
-use usher_forwarding::{AgentPath, Fleet, Hello, HostState, NodeId, Report, ServiceKey};
+use usher_forwarding::{AgentForwarder, Fleet, Hello, HostState, NodeId, Report, ServiceKey};
 use usher_platform::Call;
 use usher_types::{Sequence, Slots, Span, Time};
 
@@ -44,14 +44,14 @@
         return Err(NodeError::NoAgent);
     };
     let now = usher_clock::now();
-    let path = AgentPath::new(
+    let forwarder = AgentForwarder::new(
         settings.node,
         &agent_settings.service,
         now,
         settings.flow_life,
     );
     let shared = Shared {
-        path: Arc::new(Mutex::new(path)),
+        forwarder: Arc::new(Mutex::new(forwarder)),
         held: Arc::default(),
         network_socket: Arc::new(open_udp(settings.packets, "packets")?),
         backend_socket: Arc::new(open_udp(
@@ -76,7 +76,7 @@
     control.listen().await?;
     control.start_traffic()?;
     for seed in &control.settings.seeds {
-        control.fleet.borrow_mut().learn(now, *seed);
+        control.fleet.borrow_mut().add(now, *seed);
     }
     spawn_local(Rc::clone(&control).find_balancers());
     event::STARTED.log(&[
@@ -127,8 +127,8 @@
     fn metrics_text(&self) -> String {
         let metrics = &self.shared.metrics;
         let (flows, working) = {
-            let path = self.shared.path();
-            (path.held(), path.load(usher_clock::now()).working)
+            let forwarder = self.shared.forwarder();
+            (forwarder.held(), forwarder.load(usher_clock::now()).working)
         };
         metrics.set_agent(flows, working);
         metrics.text()
@@ -192,12 +192,12 @@
     fn on_hello(&self, node: NodeId, hello: &Hello) {
         let now = usher_clock::now();
         let mut fleet = self.fleet.borrow_mut();
-        let mut new = fleet.hear(now, node, hello);
+        let mut new = fleet.on_hello(now, node, hello);
         if new {
             event::BALANCER_FOUND.log(&[("balancer", &node), ("epoch", &hello.epoch)]);
         }
         for other in &hello.balancers {
-            new |= fleet.learn(now, *other);
+            new |= fleet.add(now, *other);
         }
         drop(fleet);
         if new {
@@ -207,19 +207,19 @@
 
     pub(super) fn report(&self, now: Time) {
         let report = {
-            let path = self.shared.path();
-            let heartbeat = path.word();
+            let forwarder = self.shared.forwarder();
+            let heartbeat = forwarder.heartbeat();
             Report {
                 epoch: self.epoch,
                 sequence: self.sequence.get(),
                 centre: self.settings.centre.clone(),
                 service: ServiceKey::of(&self.agent_settings.service),
-                state: path.state(),
+                state: forwarder.state(),
                 born: heartbeat.map_or(0, |heartbeat| heartbeat.born),
                 slots: heartbeat.map_or(Slots::new(1), |heartbeat| heartbeat.slots),
                 warmup: heartbeat.map_or(Span::ZERO, |heartbeat| heartbeat.warmup),
-                load: path.load(now),
-                few: self.fleet.borrow().reports_to_few(),
+                load: forwarder.load(now),
+                relayed: self.fleet.borrow().reports_to_few(),
             }
         };
         self.sequence.set(self.sequence.get().next());
@@ -232,7 +232,7 @@
     }
 
     fn expire(&self, now: Time) {
-        self.shared.path().expire(now, self.settings.flow_life);
+        self.shared.forwarder().expire(now, self.settings.flow_life);
         for node in self.fleet.borrow_mut().expire(now) {
             event::BALANCER_FORGOTTEN.log(&[("balancer", &node)]);
         }
@@ -241,10 +241,10 @@
     fn stop(&self) {
         let now = usher_clock::now();
         let span = DRAIN_LIMIT.min(self.settings.grace - END_MARGIN);
-        self.shared.path().stop();
+        self.shared.forwarder().stop();
         self.stopping.set(Some(now + span));
         self.report(now);
-        let open = self.shared.path().open();
+        let open = self.shared.forwarder().open();
         event::STOPPING.log(&[("within", &span), ("flows", &open)]);
     }
 
@@ -252,8 +252,8 @@
         let Some(end) = self.stopping.get() else {
             return false;
         };
-        let path = self.shared.path();
-        now >= end || path.open() == 0 || path.state() == HostState::Ended
+        let forwarder = self.shared.forwarder();
+        now >= end || forwarder.open() == 0 || forwarder.state() == HostState::Ended
     }
 
     async fn find_balancers(self: Rc<Self>) {
@@ -263,7 +263,7 @@
                 let now = usher_clock::now();
                 let mut fleet = self.fleet.borrow_mut();
                 for listed in nodes {
-                    fleet.learn(now, listed.node);
+                    fleet.add(now, listed.node);
                 }
             }
             let isolated = self.fleet.borrow().present(usher_clock::now()).is_empty();
--- a/crates/node/src/agent/traffic.rs
+++ b/crates/node/src/agent/traffic.rs
@@ -2,10 +2,13 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use indexmap::IndexMap;
-use usher_forwarding::{AgentPath, FlowKey, Head, Hint, Inbound, NodeId, Outbound, Step, Trip};
-use usher_platform::{clear_returned, head, reset, set_token};
+use usher_forwarding::{
+    AgentForwarder, FlowKey, ForwardHeader, Hint, Inbound, InboundAction, NodeId, Outbound,
+    PacketHeader,
+};
+use usher_platform::{clear_returned, decode_header, encode_reset, set_token};
 
-use crate::codec::{DATAGRAM_BYTES, read_trip, write_hint, write_trip};
+use crate::codec::{DATAGRAM_BYTES, read_forward_header, write_forward_header, write_hint};
 use crate::event;
 use crate::metrics::{Direction, Metrics};
 use crate::socket::{receive_all, send};
@@ -13,8 +16,8 @@
 /// State that the traffic threads and the control thread of an agent share.
 #[derive(Debug, Clone)]
 pub(crate) struct Shared {
-    pub(crate) path: Arc<Mutex<AgentPath>>,
-    /// Opening packets that wait for a slot. Locked after `path`.
+    pub(crate) forwarder: Arc<Mutex<AgentForwarder>>,
+    /// Opening packets that wait for a slot. Locked after `forwarder`.
     pub(crate) held: Arc<Mutex<IndexMap<FlowKey, Vec<u8>>>>,
     /// Packets from nodes, and to callers and other nodes.
     pub(crate) network_socket: Arc<UdpSocket>,
@@ -28,23 +31,25 @@
 }
 
 impl Shared {
-    pub(crate) fn path(&self) -> MutexGuard<'_, AgentPath> {
-        self.path.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn forwarder(&self) -> MutexGuard<'_, AgentForwarder> {
+        self.forwarder
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Handles packets of callers until the process exits.
     pub(crate) fn run_inbound(&self) {
         let mut buffer = [0; DATAGRAM_BYTES];
         receive_all(&self.network_socket, &mut buffer, |bytes| {
-            let Some((trip, packet)) = read_trip(bytes) else {
+            let Some((forward_header, packet)) = read_forward_header(bytes) else {
                 event::MALFORMED.log(&[("datagram", &"not from a node")]);
                 return;
             };
-            match head(packet) {
-                Ok(head) => {
+            match decode_header(packet) {
+                Ok(packet_header) => {
                     self.metrics.packet(Direction::Inbound, packet.len());
-                    let decision = self.decide(packet, &head, &trip);
-                    self.execute(packet, &head, trip.hop, &decision);
+                    let decision = self.decide(packet, &packet_header, &forward_header);
+                    self.execute(packet, &packet_header, forward_header.hop, &decision);
                 }
                 Err(fault) => event::MALFORMED.log(&[("fault", &fault)]),
             }
@@ -55,26 +60,28 @@
     pub(crate) fn run_outbound(&self) {
         let mut buffer = [0; DATAGRAM_BYTES];
         receive_all(&self.backend_socket, &mut buffer, |packet| {
-            let head = match head(packet) {
-                Ok(head) => head,
+            let packet_header = match decode_header(packet) {
+                Ok(packet_header) => packet_header,
                 Err(fault) => {
                     event::MALFORMED.log(&[("fault", &fault)]);
                     return;
                 }
             };
             self.metrics.packet(Direction::Outbound, packet.len());
-            let decision = self.path().on_host_packet(usher_clock::now(), &head);
+            let decision = self
+                .forwarder()
+                .on_host_packet(usher_clock::now(), &packet_header);
             match decision {
                 Outbound::ToCaller { work } => {
                     if let Some(work) = work {
                         self.metrics.work(work);
                     }
-                    let caller = SocketAddrV4::new(*head.target.ip(), self.port);
+                    let caller = SocketAddrV4::new(*packet_header.target.ip(), self.port);
                     send(&self.network_socket, packet, caller);
                 }
-                Outbound::Inward(decision) => {
+                Outbound::Returned(decision) => {
                     clear_returned(packet);
-                    self.execute(packet, &head, 0, &decision);
+                    self.execute(packet, &packet_header, 0, &decision);
                 }
             }
             self.release();
@@ -85,16 +92,16 @@
     pub(crate) fn release(&self) {
         let mut ready = Vec::new();
         {
-            let mut path = self.path();
-            for release in path.release(usher_clock::now()) {
+            let mut forwarder = self.forwarder();
+            for release in forwarder.release(usher_clock::now()) {
                 if let Some(packet) = self.held().swap_remove(&release.flow) {
                     ready.push((packet, release.inbound));
                 }
             }
         }
         for (mut packet, inbound) in ready {
-            match head(&packet) {
-                Ok(head) => self.execute(&mut packet, &head, 0, &inbound),
+            match decode_header(&packet) {
+                Ok(packet_header) => self.execute(&mut packet, &packet_header, 0, &inbound),
                 Err(fault) => event::MALFORMED.log(&[("fault", &fault)]),
             }
         }
@@ -104,12 +111,18 @@
         self.held.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    // Stores a held packet under the lock of `path`, before another thread can release its flow.
-    fn decide(&self, packet: &[u8], head: &Head, trip: &Trip) -> Inbound {
-        let mut path = self.path();
-        let decision = path.on_packet(usher_clock::now(), head, trip);
-        if decision.step == Step::Hold {
-            self.held().insert(head.inbound(), packet.to_vec());
+    // Stores a held packet under the lock of `forwarder`, before another thread can release its
+    // flow.
+    fn decide(
+        &self,
+        packet: &[u8],
+        packet_header: &PacketHeader,
+        forward_header: &ForwardHeader,
+    ) -> Inbound {
+        let mut forwarder = self.forwarder();
+        let decision = forwarder.on_packet(usher_clock::now(), packet_header, forward_header);
+        if decision.action == InboundAction::Hold {
+            self.held().insert(packet_header.inbound(), packet.to_vec());
         }
         decision
     }
@@ -117,35 +130,45 @@
     /// Ends a flow whose backend server is known to be gone.
     pub(crate) fn reset(&self, flow: &FlowKey, received: u32) {
         let caller = SocketAddrV4::new(*flow.caller.ip(), self.port);
-        send(&self.network_socket, &reset(flow, received), caller);
+        send(&self.network_socket, &encode_reset(flow, received), caller);
     }
 
-    fn execute(&self, packet: &mut [u8], head: &Head, hop: u8, decision: &Inbound) {
-        let flow = head.inbound();
-        match decision.step {
-            Step::Deliver { token, opening } => {
+    fn execute(
+        &self,
+        packet: &mut [u8],
+        packet_header: &PacketHeader,
+        hop: u8,
+        decision: &Inbound,
+    ) {
+        let flow = packet_header.inbound();
+        match decision.action {
+            InboundAction::Deliver { token, opening } => {
                 set_token(packet, token);
                 send(&self.backend_socket, packet, self.backend);
                 if opening {
                     self.metrics.hops(hop);
                     event::FLOW_ACCEPTED.log(&[
                         ("flow", &flow),
-                        ("copy", &head.acknowledged),
+                        ("copy", &packet_header.acknowledged),
                         ("hop", &hop),
                     ]);
                 }
             }
-            Step::Forward { to, trip, reason } => {
-                self.forward(packet, to, &trip);
+            InboundAction::Forward {
+                to,
+                forward_header,
+                reason,
+            } => {
+                self.forward(packet, to, &forward_header);
                 event::FLOW_FORWARDED.log(&[
                     ("flow", &flow),
                     ("to", &to),
-                    ("hop", &trip.hop),
+                    ("hop", &forward_header.hop),
                     ("reason", &reason.as_str()),
-                    ("opening", &head.opens()),
+                    ("opening", &packet_header.opens()),
                 ]);
             }
-            Step::Refuse {
+            InboundAction::Refuse {
                 flow,
                 received,
                 wait,
@@ -154,7 +177,7 @@
                 let wait = wait.map_or_else(|| "none".to_owned(), |wait| wait.to_string());
                 event::FLOW_REFUSED.log(&[("flow", &flow), ("reason", &"hosts"), ("wait", &wait)]);
             }
-            Step::Missing {
+            InboundAction::Missing {
                 flow,
                 origin,
                 received,
@@ -162,18 +185,22 @@
                 self.send_hint(origin, &Hint::Missing { flow, received });
                 event::FLOW_MISSING.log(&[("flow", &flow), ("balancer", &origin)]);
             }
-            Step::Hold => event::FLOW_HELD.log(&[("flow", &flow), ("copy", &head.acknowledged)]),
-            Step::Drop => event::PACKET_DROPPED.log(&[("flow", &flow), ("reason", &"unknown")]),
+            InboundAction::Hold => {
+                event::FLOW_HELD.log(&[("flow", &flow), ("copy", &packet_header.acknowledged)]);
+            }
+            InboundAction::Drop => {
+                event::PACKET_DROPPED.log(&[("flow", &flow), ("reason", &"unknown")]);
+            }
         }
-        if let Some(origin) = decision.tell {
+        if let Some(origin) = decision.notify {
             let node = self.node;
             self.send_hint(origin, &Hint::Held { flow, node });
         }
     }
 
-    fn forward(&self, packet: &[u8], to: NodeId, trip: &Trip) {
+    fn forward(&self, packet: &[u8], to: NodeId, forward_header: &ForwardHeader) {
         let mut out = [0; DATAGRAM_BYTES];
-        let length = write_trip(&mut out, trip, packet);
+        let length = write_forward_header(&mut out, forward_header, packet);
         let to = SocketAddrV4::new(to.address(), self.port);
         send(&self.network_socket, &out[..length], to);
     }
--- a/crates/node/src/balancer/control.rs
+++ b/crates/node/src/balancer/control.rs
@@ -11,7 +11,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep_until};
 use usher_clock::SuspendWatch;
-use usher_forwarding::{NodeId, Relayed, View};
+use usher_forwarding::{Digest, NodeId, RoutingView};
 use usher_platform::Call;
 use usher_types::{Span, Time};
 
@@ -46,7 +46,7 @@
     file: &Path,
     mut signals: Signals,
 ) -> Result<(), NodeError> {
-    let view = Arc::new(ArcSwap::from_pointee(View::default()));
+    let view = Arc::new(ArcSwap::from_pointee(RoutingView::default()));
     let socket = open_udp(settings.packets, "packets")?;
     let peers = Peers::open(&settings)?;
     let metrics = Arc::new(Metrics::new());
@@ -63,7 +63,7 @@
         })?;
     for seed in &settings.seeds {
         if *seed != settings.node {
-            state.borrow_mut().fleet.learn(usher_clock::now(), *seed);
+            state.borrow_mut().fleet.add(usher_clock::now(), *seed);
         }
     }
     let resync = Rc::new(Notify::new());
@@ -179,7 +179,7 @@
 
     fn relay(&self, now: Time) {
         let digests = self.state.borrow_mut().digests(now);
-        for Relayed { to, reports } in digests {
+        for Digest { to, reports } in digests {
             for part in reports.chunks(DIGEST_REPORTS) {
                 self.peers.send(&to, &PeerMessage::Digest(part.to_vec()));
             }
@@ -198,7 +198,7 @@
         self.peers.send(&agents, &state.agent_hello(now));
         let version = state.version();
         let port = state.settings.peer_port;
-        if let Some((from, _)) = state.fleet.ahead(now, version)
+        if let Some((from, _)) = state.fleet.newest_peer(now, version)
             && !self.fetching.replace(true)
         {
             let (state, fetching) = (Rc::clone(&self.state), Rc::clone(&self.fetching));
--- a/crates/node/src/balancer/feed.rs
+++ b/crates/node/src/balancer/feed.rs
@@ -7,8 +7,8 @@
 use serde::Deserialize;
 use serde_json::Value;
 use tokio::sync::Notify;
-use usher_forwarding::{Departures, NodeId};
-use usher_platform::{Listing, Request, Watched};
+use usher_forwarding::{NodeId, StaleEntries};
+use usher_platform::{Listing, Request, WatchAnswer};
 use usher_types::{Span, Version};
 
 use super::state::State;
@@ -79,12 +79,12 @@
         return Err(format!("status {}", reply.status));
     }
     let listing = Listing::parse(&reply.body).map_err(|fault| fault.to_string())?;
-    let at = listing.at;
+    let store_version = listing.store_version;
     if let Some(object) = listing.configuration() {
         let mut state = state.borrow_mut();
         state.adopt(object.version, object.spec, "store");
     }
-    Ok(Some(at))
+    Ok(Some(store_version))
 }
 
 // Waits for changes; returns the version to watch from, or `None` to read all again.
@@ -105,13 +105,13 @@
     if reply.status != OK {
         return Err(format!("status {}", reply.status));
     }
-    let watched = Watched::parse(&reply.body).map_err(|fault| fault.to_string())?;
-    let at = watched.at.max(since);
-    for object in watched.configurations() {
+    let answer = WatchAnswer::parse(&reply.body).map_err(|fault| fault.to_string())?;
+    let store_version = answer.store_version.max(since);
+    for object in answer.configurations() {
         let mut state = state.borrow_mut();
         state.adopt(object.version, object.spec, "store");
     }
-    Ok(Some(at))
+    Ok(Some(store_version))
 }
 
 #[derive(Debug, Deserialize)]
@@ -159,10 +159,10 @@
     let metrics = Arc::clone(&state.borrow().metrics);
     let mut client = Client::new(store, metrics);
     register(&mut client, &name, node).await;
-    let mut departures = Departures::default();
+    let mut stale_entries = StaleEntries::default();
     loop {
         if let Some(listed) = list_balancers(&mut client).await {
-            let departed = add_listed(&state, &mut departures, &listed);
+            let departed = add_listed(&state, &mut stale_entries, &listed);
             for entry in listed.iter().filter(|entry| departed.contains(&entry.node)) {
                 remove(&mut client, entry).await;
             }
@@ -174,17 +174,17 @@
 // Adds listed balancers to the fleet; returns those whose entries are to be removed.
 fn add_listed(
     state: &RefCell<State>,
-    departures: &mut Departures,
+    stale_entries: &mut StaleEntries,
     listed: &[Listed],
 ) -> Vec<NodeId> {
     let now = usher_clock::now();
     let mut state = state.borrow_mut();
     let local = state.settings.node;
     for entry in listed.iter().filter(|entry| entry.node != local) {
-        state.fleet.learn(now, entry.node);
+        state.fleet.add(now, entry.node);
     }
     let (fleet, centre) = (&state.fleet, &state.settings.centre);
     let nodes = listed.iter().map(|entry| entry.node);
     let watched: Vec<NodeId> = nodes.filter(|node| fleet.watches(*node, centre)).collect();
-    departures.observe(now, local, &watched, &fleet.watchers(now, centre))
+    stale_entries.observe(now, local, &watched, &fleet.watchers(now, centre))
 }
--- a/crates/node/src/balancer/state.rs
+++ b/crates/node/src/balancer/state.rs
@@ -3,9 +3,10 @@
 use arc_swap::ArcSwap;
 use serde_json::Value;
 use usher_forwarding::{
-    Directory, Exchange, Fleet, Hello, HostState, InForce, NodeId, Relayed, Report, View,
+    ActiveConfiguration, ControlTargets, Digest, Fleet, Hello, HostDirectory, HostState, NodeId,
+    Report, RoutingView,
 };
-use usher_platform::configuration;
+use usher_platform::decode_configuration;
 use usher_types::{Span, Time, Version};
 
 use crate::codec::PeerMessage;
@@ -28,52 +29,57 @@
     pub(crate) metrics: Arc<Metrics>,
     epoch: u64,
     started: Time,
-    directory: Directory,
-    in_force: InForce,
+    directory: HostDirectory,
+    active_configuration: ActiveConfiguration,
     document: Value,
-    view: Arc<ArcSwap<View>>,
+    view: Arc<ArcSwap<RoutingView>>,
     ready: bool,
-    exchange: Exchange,
+    targets: ControlTargets,
     /// Where the lists of nodes in the next hello message start.
     offset: usize,
 }
 
 impl State {
-    pub(crate) fn new(settings: Settings, view: Arc<ArcSwap<View>>, metrics: Arc<Metrics>) -> Self {
+    pub(crate) fn new(
+        settings: Settings,
+        view: Arc<ArcSwap<RoutingView>>,
+        metrics: Arc<Metrics>,
+    ) -> Self {
         let started = usher_clock::now();
-        let exchange = Exchange::new(settings.node, settings.strength, settings.centre.clone());
+        let targets =
+            ControlTargets::new(settings.node, settings.capacity, settings.centre.clone());
         Self {
-            directory: Directory::new(settings.centre.clone(), started),
+            directory: HostDirectory::new(settings.centre.clone(), started),
             settings,
             fleet: Fleet::default(),
             stopping: false,
             metrics,
             epoch: usher_clock::epoch(),
             started,
-            in_force: InForce::default(),
+            active_configuration: ActiveConfiguration::default(),
             document: Value::Null,
             view,
             ready: false,
-            exchange,
+            targets,
             offset: 0,
         }
     }
 
     /// Applies the operator's document as stored at a version, if that is newer.
     pub(crate) fn adopt(&mut self, version: Version, spec: Value, source: &str) {
-        if version <= self.in_force.version() {
+        if version <= self.active_configuration.version() {
             return;
         }
-        match configuration(version, &spec) {
+        match decode_configuration(version, &spec) {
             Ok(parsed) => {
-                let (label, routes) = (parsed.label, parsed.routes.len());
+                let (operator_version, routes) = (parsed.operator_version, parsed.routes.len());
                 let ignored = parsed.ignored;
-                self.in_force.adopt(parsed);
+                self.active_configuration.adopt(parsed);
                 self.document = spec;
                 self.publish();
                 event::CONFIGURED.log(&[
                     ("version", &version),
-                    ("label", &label),
+                    ("label", &operator_version),
                     ("routes", &routes),
                     ("ignored", &ignored),
                     ("source", &source),
@@ -84,7 +90,7 @@
     }
 
     pub(crate) fn version(&self) -> Version {
-        self.in_force.version()
+        self.active_configuration.version()
     }
 
     /// The document in force as JSON, for another balancer.
@@ -95,8 +101,8 @@
 
     pub(crate) fn on_report(&mut self, now: Time, node: NodeId, report: &Report) {
         let known = self.directory.state(now, node);
-        let changed = self.directory.hear_direct(now, node, report);
-        self.exchange.hear_agent(now, node);
+        let changed = self.directory.on_direct_report(now, node, report);
+        self.targets.on_agent_report(now, node);
         self.publish_change(changed, known, node, report);
     }
 
@@ -106,15 +112,15 @@
         for (node, report) in digest {
             let known = self.directory.state(now, *node);
             let directory = &mut self.directory;
-            let changed = directory.hear_relayed(now, *node, report, centre.as_ref());
+            let changed = directory.on_relayed_report(now, *node, report, centre.as_ref());
             self.publish_change(changed, known, *node, report);
         }
     }
 
     /// Reports to relay, each digest with its receivers.
-    pub(crate) fn digests(&mut self, now: Time) -> [Relayed; 2] {
+    pub(crate) fn digests(&mut self, now: Time) -> [Digest; 2] {
         let directory = &mut self.directory;
-        self.exchange.digests(now, &self.fleet, directory)
+        self.targets.digests(now, &self.fleet, directory)
     }
 
     fn publish_change(
@@ -146,10 +152,10 @@
     pub(crate) fn on_hello(&mut self, now: Time, node: NodeId, hello: &Hello) -> bool {
         for other in &hello.balancers {
             if *other != self.settings.node {
-                self.fleet.learn(now, *other);
+                self.fleet.add(now, *other);
             }
         }
-        let new = self.fleet.hear(now, node, hello);
+        let new = self.fleet.on_hello(now, node, hello);
         if new {
             event::BALANCER_FOUND.log(&[
                 ("balancer", &node),
@@ -170,12 +176,12 @@
 
     /// Agents that get a hello message at `now`: those that report here or may start to.
     pub(crate) fn agent_receivers(&mut self, now: Time) -> Vec<NodeId> {
-        self.exchange.agents(now, &self.fleet, &self.directory)
+        self.targets.hello_agents(now, &self.fleet, &self.directory)
     }
 
     /// Balancers that get a hello message at `now`, and whether it asks for one back.
     pub(crate) fn balancer_receivers(&mut self, now: Time) -> Vec<(NodeId, bool)> {
-        self.exchange.balancers(now, &mut self.fleet)
+        self.targets.hello_balancers(now, &mut self.fleet)
     }
 
     /// The hello message to other balancers.
@@ -201,7 +207,7 @@
             version: self.version(),
             leaving: self.stopping,
             centre: self.settings.centre.clone(),
-            strength: self.settings.strength,
+            capacity: self.settings.capacity,
             balancers: rotated_subset(self.fleet.present(now), HELLO_BALANCERS, self.offset),
             agents: Vec::new(),
             ask: false,
@@ -229,8 +235,10 @@
         let host = states.any(|(state, _)| state == HostState::Serving);
         let configured = self.version() > Version::default();
         let settings = &self.settings;
-        let (local, strength) = (settings.node, settings.strength);
-        let standby = self.fleet.stands_by(now, local, strength, &settings.centre);
+        let (local, capacity) = (settings.node, settings.capacity);
+        let standby = self
+            .fleet
+            .is_standby(now, local, capacity, &settings.centre);
         let hosts = host || now - self.started > HOST_WAIT;
         let ready = configured && !self.stopping && hosts && !standby;
         if ready != self.ready {
@@ -255,7 +263,9 @@
 
     fn publish(&self) {
         let previous = self.view.load();
-        let view = self.directory.view(self.in_force.current(), &previous);
+        let view = self
+            .directory
+            .view(self.active_configuration.current(), &previous);
         self.view.store(Arc::new(view));
     }
 }
--- a/crates/node/src/balancer/traffic.rs
+++ b/crates/node/src/balancer/traffic.rs
@@ -1,11 +1,13 @@
 use std::net::{SocketAddrV4, UdpSocket};
 
 use arc_swap::ArcSwap;
-use usher_forwarding::{BalancerPath, Found, Head, NodeId, Refused, Verdict, View};
-use usher_platform::{head, reset};
+use usher_forwarding::{
+    BalancerForwarder, HostSource, NodeId, PacketHeader, RejectReason, RoutingView, Verdict,
+};
+use usher_platform::{decode_header, encode_reset};
 use usher_types::Time;
 
-use crate::codec::{DATAGRAM_BYTES, HINT_BYTES, read_hint, write_trip};
+use crate::codec::{DATAGRAM_BYTES, HINT_BYTES, read_hint, write_forward_header};
 use crate::event;
 use crate::metrics::{Direction, Metrics};
 use crate::socket::{receive_all, send};
@@ -15,11 +17,11 @@
     node: NodeId,
     port: u16,
     socket: &UdpSocket,
-    view: &ArcSwap<View>,
+    view: &ArcSwap<RoutingView>,
     metrics: &Metrics,
 ) {
     let mut traffic = Traffic {
-        path: BalancerPath::new(node),
+        forwarder: BalancerForwarder::new(node),
         port,
         socket,
         metrics,
@@ -34,7 +36,7 @@
 
 #[derive(Debug)]
 struct Traffic<'a> {
-    path: BalancerPath,
+    forwarder: BalancerForwarder,
     port: u16,
     socket: &'a UdpSocket,
     metrics: &'a Metrics,
@@ -42,32 +44,42 @@
 }
 
 impl Traffic<'_> {
-    fn on_datagram(&mut self, now: Time, bytes: &[u8], view: &View) {
+    fn on_datagram(&mut self, now: Time, bytes: &[u8], view: &RoutingView) {
         if bytes.len() == HINT_BYTES {
             let hint = read_hint(bytes);
-            if let Some(verdict) = hint.and_then(|hint| self.path.on_hint(now, &hint, view)) {
+            if let Some(verdict) = hint.and_then(|hint| self.forwarder.on_hint(now, &hint, view)) {
                 self.execute(bytes, None, verdict, view);
             }
             return;
         }
-        match head(bytes) {
-            Ok(head) => {
+        match decode_header(bytes) {
+            Ok(packet_header) => {
                 self.metrics.packet(Direction::Inbound, bytes.len());
-                let verdict = self.path.on_packet(now, &head, view);
-                self.execute(bytes, Some(&head), verdict, view);
+                let verdict = self.forwarder.on_packet(now, &packet_header, view);
+                self.execute(bytes, Some(&packet_header), verdict, view);
             }
             Err(fault) => event::MALFORMED.log(&[("fault", &fault)]),
         }
     }
 
-    fn execute(&mut self, packet: &[u8], head: Option<&Head>, verdict: Verdict, view: &View) {
+    fn execute(
+        &mut self,
+        packet: &[u8],
+        packet_header: Option<&PacketHeader>,
+        verdict: Verdict,
+        view: &RoutingView,
+    ) {
         match verdict {
-            Verdict::Send { to, trip, how } => {
-                let length = write_trip(&mut self.out, &trip, packet);
+            Verdict::Send {
+                to,
+                forward_header,
+                how,
+            } => {
+                let length = write_forward_header(&mut self.out, &forward_header, packet);
                 let to = SocketAddrV4::new(to.address(), self.port);
                 send(self.socket, &self.out[..length], to);
-                if let Some(head) = head {
-                    self.record_sent(head, to, how, view);
+                if let Some(packet_header) = packet_header {
+                    self.record_sent(packet_header, to, how, view);
                 }
             }
             Verdict::Reset {
@@ -76,9 +88,9 @@
                 reason,
             } => {
                 let to = SocketAddrV4::new(*flow.caller.ip(), self.port);
-                send(self.socket, &reset(&flow, received), to);
+                send(self.socket, &encode_reset(&flow, received), to);
                 let event = match reason {
-                    Refused::HostGone => event::FLOW_RESET,
+                    RejectReason::HostGone => event::FLOW_RESET,
                     _ => event::FLOW_REFUSED,
                 };
                 event.log(&[
@@ -88,22 +100,30 @@
                 ]);
             }
             Verdict::Drop(reason) => {
-                let flow = head.map_or_else(String::new, |head| head.inbound().to_string());
+                let flow = packet_header.map_or_else(String::new, |packet_header| {
+                    packet_header.inbound().to_string()
+                });
                 event::PACKET_DROPPED.log(&[("flow", &flow), ("reason", &reason.as_str())]);
             }
         }
     }
 
-    fn record_sent(&self, head: &Head, to: SocketAddrV4, how: Found, view: &View) {
-        let (flow, version) = (head.inbound(), view.version());
+    fn record_sent(
+        &self,
+        packet_header: &PacketHeader,
+        to: SocketAddrV4,
+        how: HostSource,
+        view: &RoutingView,
+    ) {
+        let (flow, version) = (packet_header.inbound(), view.version());
         match how {
-            Found::Cached => {}
-            Found::Searched => event::FLOW_SEARCHED.log(&[
+            HostSource::Cached => {}
+            HostSource::Searched => event::FLOW_SEARCHED.log(&[
                 ("flow", &flow),
                 ("first", &to.ip()),
                 ("version", &version),
             ]),
-            Found::Placed {
+            HostSource::Placed {
                 age,
                 working,
                 among,
@@ -112,7 +132,7 @@
                 event::FLOW_PLACED.log(&[
                     ("flow", &flow),
                     ("host", &to.ip()),
-                    ("copy", &head.acknowledged),
+                    ("copy", &packet_header.acknowledged),
                     ("age", &age),
                     ("working", &working),
                     ("among", &among),
--- a/crates/node/src/codec.rs
+++ b/crates/node/src/codec.rs
@@ -1,23 +1,25 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use serde::{Deserialize, Serialize};
-use usher_forwarding::{Best, Candidates, FlowKey, Hello, Hint, NodeId, Report, ServiceKey, Trip};
+use usher_forwarding::{
+    Candidates, FlowKey, ForwardHeader, Hello, Hint, NodeId, Report, ServiceKey, ShortestQueue,
+};
 use usher_types::Span;
 
-/// Buffer size for the longest datagram: a packet of 1,231 bytes and the longest trip.
+/// Buffer size for the longest datagram: a packet of 1,231 bytes and the longest forward header.
 pub(crate) const DATAGRAM_BYTES: usize = 2_048;
 
 /// Length of a hint. Packets of callers on the same port have at least 31 bytes.
 pub(crate) const HINT_BYTES: usize = 21;
 
-const TRIP_KIND: u8 = 0xd1;
+const FORWARD_HEADER_KIND: u8 = 0xd1;
 const HELD_KIND: u8 = 0xd2;
 const MISSING_KIND: u8 = 0xd3;
-const LAST_FLAG: u8 = 1;
-// The rank has seven bits of a byte; the eighth is `LAST_FLAG`.
+const FINAL_FLAG: u8 = 1;
+// The rank has seven bits of a byte; the eighth is `FINAL_FLAG`.
 const LOWEST_RANK: u8 = 127;
-const TRIP_BYTES: usize = 28;
-const NO_BEST: u32 = u32::MAX;
+const FORWARD_HEADER_BYTES: usize = 28;
+const NO_QUEUE: u32 = u32::MAX;
 
 /// A message between the control threads of nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -30,21 +32,29 @@
     Digest(Vec<(NodeId, Report)>),
 }
 
-/// Encodes a trip and then its packet; returns the length.
-pub(crate) fn write_trip(out: &mut [u8; DATAGRAM_BYTES], trip: &Trip, packet: &[u8]) -> usize {
-    let best = trip.best.map_or(NodeId::NONE, |best| best.node);
-    let wait = trip.best.map_or(NO_BEST, |best| millis(best.wait));
-    let candidates = trip.candidates.as_slice();
-    out[0] = TRIP_KIND;
-    out[1] = trip.hop;
+/// Encodes a forward header and then its packet; returns the length.
+pub(crate) fn write_forward_header(
+    out: &mut [u8; DATAGRAM_BYTES],
+    header: &ForwardHeader,
+    packet: &[u8],
+) -> usize {
+    let shortest = header
+        .shortest
+        .map_or(NodeId::NONE, |shortest| shortest.node);
+    let wait = header
+        .shortest
+        .map_or(NO_QUEUE, |shortest| millis(shortest.wait));
+    let candidates = header.candidates.as_slice();
+    out[0] = FORWARD_HEADER_KIND;
+    out[1] = header.hop;
     out[2] = candidates.len() as u8;
-    out[3] = (trip.rank.min(LOWEST_RANK) << 1) | u8::from(trip.last);
-    out[4..12].copy_from_slice(&trip.service.bits().to_be_bytes());
-    out[12..16].copy_from_slice(&trip.origin.address().octets());
-    out[16..20].copy_from_slice(&best.address().octets());
+    out[3] = (header.rank.min(LOWEST_RANK) << 1) | u8::from(header.is_final);
+    out[4..12].copy_from_slice(&header.service.bits().to_be_bytes());
+    out[12..16].copy_from_slice(&header.origin.address().octets());
+    out[16..20].copy_from_slice(&shortest.address().octets());
     out[20..24].copy_from_slice(&wait.to_be_bytes());
-    out[24..28].copy_from_slice(&millis(trip.budget).to_be_bytes());
-    let mut offset = TRIP_BYTES;
+    out[24..28].copy_from_slice(&millis(header.budget).to_be_bytes());
+    let mut offset = FORWARD_HEADER_BYTES;
     for node in candidates {
         out[offset..offset + 4].copy_from_slice(&node.address().octets());
         offset += 4;
@@ -54,33 +64,33 @@
     offset + length
 }
 
-/// Decodes a trip; returns it with the packet that follows.
-pub(crate) fn read_trip(bytes: &mut [u8]) -> Option<(Trip, &mut [u8])> {
-    let (head, rest) = bytes.split_at_mut_checked(TRIP_BYTES)?;
-    if head[0] != TRIP_KIND || usize::from(head[2]) > Candidates::MAX {
+/// Decodes a forward header; returns it with the packet that follows.
+pub(crate) fn read_forward_header(bytes: &mut [u8]) -> Option<(ForwardHeader, &mut [u8])> {
+    let (fixed, rest) = bytes.split_at_mut_checked(FORWARD_HEADER_BYTES)?;
+    if fixed[0] != FORWARD_HEADER_KIND || usize::from(fixed[2]) > Candidates::MAX {
         return None;
     }
-    let (nodes, packet) = rest.split_at_mut_checked(usize::from(head[2]) * 4)?;
+    let (nodes, packet) = rest.split_at_mut_checked(usize::from(fixed[2]) * 4)?;
     let mut candidates = Candidates::default();
     for node in nodes.chunks_exact(4) {
         candidates.push(node_at(node, 0)?);
     }
-    let wait = number_at(head, 20)?;
-    let best = Best {
-        node: node_at(head, 16)?,
+    let wait = number_at(fixed, 20)?;
+    let shortest = ShortestQueue {
+        node: node_at(fixed, 16)?,
         wait: Span::from_millis(u64::from(wait)),
     };
-    let trip = Trip {
-        service: ServiceKey::from_bits(u64::from_be_bytes(*head.get(4..12)?.first_chunk()?)),
-        origin: node_at(head, 12)?,
+    let header = ForwardHeader {
+        service: ServiceKey::from_bits(u64::from_be_bytes(*fixed.get(4..12)?.first_chunk()?)),
+        origin: node_at(fixed, 12)?,
         candidates,
-        hop: head[1],
-        best: (wait != NO_BEST).then_some(best),
-        budget: Span::from_millis(u64::from(number_at(head, 24)?)),
-        rank: head[3] >> 1,
-        last: head[3] & LAST_FLAG != 0,
+        hop: fixed[1],
+        shortest: (wait != NO_QUEUE).then_some(shortest),
+        budget: Span::from_millis(u64::from(number_at(fixed, 24)?)),
+        rank: fixed[3] >> 1,
+        is_final: fixed[3] & FINAL_FLAG != 0,
     };
-    Some((trip, packet))
+    Some((header, packet))
 }
 
 /// Encodes a hint.
@@ -140,7 +150,7 @@
 }
 
 fn millis(span: Span) -> u32 {
-    u32::try_from(span.as_millis()).unwrap_or(NO_BEST - 1)
+    u32::try_from(span.as_millis()).unwrap_or(NO_QUEUE - 1)
 }
 
 fn number_at(bytes: &[u8], offset: usize) -> Option<u32> {
--- a/crates/node/src/http/server.rs
+++ b/crates/node/src/http/server.rs
@@ -11,7 +11,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
-use usher_platform::watch_connection;
+use usher_platform::configure_connection;
 
 use crate::socket::RETRY_PAUSE;
 use crate::{NodeError, event};
@@ -86,7 +86,7 @@
     stream: TcpStream,
     answer: Rc<impl Fn(&str, &str, &[u8]) -> Answer + 'static>,
 ) {
-    if let Err(fault) = watch_connection(&stream) {
+    if let Err(fault) = configure_connection(&stream) {
         event::MALFORMED.log(&[("connection", &fault)]);
         return;
     }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -5,7 +5,7 @@
 
 use log::LevelFilter;
 use serde::Deserialize;
-use usher_forwarding::{NodeId, Strength};
+use usher_forwarding::{CpuCapacity, NodeId};
 use usher_platform::render_example;
 use usher_types::{DataCentre, Span};
 
@@ -54,7 +54,7 @@
     /// The platform's store.
     pub store: SocketAddrV4,
     /// Processor capacity of the machine for this node.
-    pub strength: Strength,
+    pub capacity: CpuCapacity,
     /// Longest life of a flow.
     pub flow_life: Span,
     /// Time between the stop signal and the kill.
@@ -205,7 +205,7 @@
             peer_port: parse(section, "peer_port", &process.peer_port, "a port")?,
             seeds: seeds?.iter().map(|seed| NodeId::new(*seed.ip())).collect(),
             store: parse(section, "store", &process.store, ADDRESS)?,
-            strength: parse(section, "cores", &process.cores, "a number of cores")?,
+            capacity: parse(section, "cores", &process.cores, "a number of cores")?,
             flow_life: seconds(section, "flow_life_s", &process.flow_life_s)?,
             grace: seconds(section, "grace_s", &process.grace_s)?,
             level: parse(
--- a/crates/node/tests/processes.rs
+++ b/crates/node/tests/processes.rs
@@ -2,64 +2,67 @@
 
 use std::path::Path;
 
-use usher_platform::{head, packet};
+use usher_platform::{decode_header, encode_packet};
 use usher_platform_standin::store::{Down, Faults};
 use usher_platform_standin::{
-    NOBODY, SECOND, SERVICE, World, answer_to, eventually, is_reset, receive,
+    Deployment, SECOND_BALANCER, SERVICE, UNUSED_HOST, answer_header, eventually, is_reset, receive,
 };
 
 // The backend server's answer to the opening packet of a caller.
 fn reply(opening: &[u8]) -> Vec<u8> {
-    packet(&answer_to(&head(opening).unwrap(), true, 0), b"")
+    encode_packet(
+        &answer_header(&decode_header(opening).unwrap(), true, 0),
+        b"",
+    )
 }
 
-fn start(net: u8) -> World {
+fn start(net: u8) -> Deployment {
     let program = Path::new(env!("CARGO_BIN_EXE_marigoldusher-node"));
-    let world = World::start(net, program, Path::new(env!("CARGO_TARGET_TMPDIR")));
-    eventually("the balancer is ready", || world.ready() == 200);
+    let deployment = Deployment::start(net, program, Path::new(env!("CARGO_TARGET_TMPDIR")));
+    eventually("the balancer is ready", || deployment.ready() == 200);
     eventually("a heartbeat is acknowledged", || {
-        world.heartbeat("ready", 1) == 200
+        deployment.heartbeat("ready", 1) == 200
     });
-    world
+    deployment
 }
 
 /// Guards against packets that are lost or changed between the caller and the backend server.
 #[test]
 fn a_flow_goes_there_and_back() {
-    let world = start(11);
-    let packet = world.await_flow(1_000);
+    let deployment = start(11);
+    let packet = deployment.await_flow(1_000);
     let mut sent = packet.clone();
     sent[14..18].fill(0);
     let port = u16::from_be_bytes([packet[0], packet[1]]);
-    assert_eq!(sent, world.opening(port), "only the token may differ");
+    assert_eq!(sent, deployment.opening(port), "only the token may differ");
     let answer = reply(&packet);
-    world.answer(&answer);
-    assert_eq!(receive(&world.caller), Some(answer));
+    deployment.answer(&answer);
+    assert_eq!(receive(&deployment.caller), Some(answer));
 }
 
 /// Guards against new flows to a draining backend server, and against callers that get no answer
 /// when no host is left.
 #[test]
 fn a_leaving_backend_server_gets_no_flow_and_the_caller_a_reset() {
-    let world = start(12);
-    world.await_flow(1_000);
-    assert_eq!(world.heartbeat("draining", 2), 200);
-    while receive(&world.backend).is_some() {}
+    let deployment = start(12);
+    deployment.await_flow(1_000);
+    assert_eq!(deployment.heartbeat("draining", 2), 200);
+    while receive(&deployment.backend).is_some() {}
     eventually("the caller is refused", || {
-        world.send(&world.opening(2_000));
-        receive(&world.caller).is_some_and(|packet| is_reset(&packet))
+        deployment.send(&deployment.opening(2_000));
+        receive(&deployment.caller).is_some_and(|packet| is_reset(&packet))
     });
-    assert_eq!(receive(&world.backend), None);
+    assert_eq!(receive(&deployment.backend), None);
 }
 
 /// Guards against a dropped packet when the only host returns it: its caller must get a reset.
 #[test]
 fn a_flow_that_the_only_host_returns_is_refused() {
-    let world = start(13);
-    let mut returned = head(&world.await_flow(1_000)).unwrap();
+    let deployment = start(13);
+    let mut returned = decode_header(&deployment.await_flow(1_000)).unwrap();
     returned.flags.returned = true;
-    world.answer(&packet(&returned, b""));
-    let reset = head(&receive(&world.caller).unwrap()).unwrap();
+    deployment.answer(&encode_packet(&returned, b""));
+    let reset = decode_header(&receive(&deployment.caller).unwrap()).unwrap();
     assert!(reset.flags.resetting);
     assert_eq!(reset.target, returned.source);
 }
@@ -67,54 +70,54 @@
 /// Guards against a configuration that is not applied, or is lost when the store fails.
 #[test]
 fn configuration_takes_effect_and_outlives_the_store() {
-    let world = start(14);
-    world.await_flow(1_000);
-    world.store.set_down(true);
-    world.await_flow(2_000);
-    world.store.set_down(false);
-    world.store.configure("198.18.0.9", 443, SERVICE);
-    world.await_no_route(3_000);
+    let deployment = start(14);
+    deployment.await_flow(1_000);
+    deployment.store.set_down(true);
+    deployment.await_flow(2_000);
+    deployment.store.set_down(false);
+    deployment.store.configure("198.18.0.9", 443, SERVICE);
+    deployment.await_no_route(3_000);
 }
 
 /// Guards against malformed input from outside that ends a process.
 #[test]
 fn malformed_input_ends_nothing() {
-    let mut world = start(15);
+    let mut deployment = start(15);
     for length in [0, 1, 21, 30, 31, 500, 1_400] {
-        world.send(&vec![0xff; length]);
-        world.answer(&vec![0xff; length]);
+        deployment.send(&vec![0xff; length]);
+        deployment.answer(&vec![0xff; length]);
     }
-    assert_eq!(world.call_agent("PUT", "{"), 400);
-    assert_eq!(world.call_agent("PATCH", "{}"), 404);
-    world.await_flow(1_000);
-    assert!(world.balancer.is_running() && world.agent.is_running());
+    assert_eq!(deployment.call_agent("PUT", "{"), 400);
+    assert_eq!(deployment.call_agent("PATCH", "{}"), 404);
+    deployment.await_flow(1_000);
+    assert!(deployment.balancer.is_running() && deployment.agent.is_running());
 }
 
 /// Guards against a planned stop that drops traffic before the routers send it elsewhere.
 #[test]
 fn planned_stops_are_graceful() {
-    let mut world = start(16);
-    world.await_flow(1_000);
-    world.balancer.terminate();
-    eventually("the balancer is not ready", || world.ready() == 503);
-    world.await_flow(2_000);
-    assert!(world.balancer.is_running());
-    assert!(world.balancer.ended_well());
-    world.agent.terminate();
-    assert!(world.agent.ended_well());
+    let mut deployment = start(16);
+    deployment.await_flow(1_000);
+    deployment.balancer.terminate();
+    eventually("the balancer is not ready", || deployment.ready() == 503);
+    deployment.await_flow(2_000);
+    assert!(deployment.balancer.is_running());
+    assert!(deployment.balancer.exited_cleanly());
+    deployment.agent.terminate();
+    assert!(deployment.agent.exited_cleanly());
 }
 
 /// Guards against a balancer that watches from a version whose history the store has dropped.
 #[test]
 fn configuration_follows_a_dropped_history() {
-    let world = start(17);
-    world.await_flow(1_000);
-    world.store.set_faults(Faults {
+    let deployment = start(17);
+    deployment.await_flow(1_000);
+    deployment.store.set_faults(Faults {
         forget: true,
         ..Faults::default()
     });
-    world.store.configure("198.18.0.9", 443, SERVICE);
-    world.await_no_route(2_000);
+    deployment.store.configure("198.18.0.9", 443, SERVICE);
+    deployment.await_no_route(2_000);
 }
 
 /// Guards against a configuration change that a balancer misses for good after a store fault.
@@ -133,13 +136,13 @@
         ..Faults::default()
     };
     for (net, faults) in [(18, delayed), (19, silent), (20, stale)] {
-        let world = start(net);
-        world.await_flow(1_000);
-        world.store.set_faults(faults);
-        world.store.configure("198.18.0.9", 443, SERVICE);
-        world.await_flow_or_reset(2_000);
-        world.store.set_down(false);
-        world.await_no_route(3_000);
+        let deployment = start(net);
+        deployment.await_flow(1_000);
+        deployment.store.set_faults(faults);
+        deployment.store.configure("198.18.0.9", 443, SERVICE);
+        deployment.await_flow_or_reset(2_000);
+        deployment.store.set_down(false);
+        deployment.await_no_route(3_000);
     }
 }
 
@@ -147,54 +150,54 @@
 /// longer exist.
 #[test]
 fn nodes_start_without_the_store_and_with_stale_seeds() {
-    let mut world = start(21);
-    world.await_flow(1_000);
-    world.store.set_down(true);
-    let seeds = [NOBODY, SECOND, 2];
-    let second = world.second_balancer(&seeds);
-    world.replace_agent(&seeds);
+    let mut deployment = start(21);
+    deployment.await_flow(1_000);
+    deployment.store.set_down(true);
+    let seeds = [UNUSED_HOST, SECOND_BALANCER, 2];
+    let second = deployment.second_balancer(&seeds);
+    deployment.replace_agent(&seeds);
     eventually("the agent acknowledges heartbeats", || {
-        world.heartbeat("ready", 2) == 200
+        deployment.heartbeat("ready", 2) == 200
     });
     eventually("the second balancer is ready", || {
-        world.ready_at(SECOND) == 200
+        deployment.ready_at(SECOND_BALANCER) == 200
     });
-    world.await_flow_at(SECOND, 2_000);
+    deployment.await_flow_at(SECOND_BALANCER, 2_000);
     drop(second);
 }
 
 /// Guards against a balancer that keeps outdated state after a suspension.
 #[test]
 fn a_suspended_balancer_catches_up() {
-    let world = start(22);
-    world.await_flow(1_000);
-    world.balancer.freeze(true);
-    world.store.configure("198.18.0.9", 443, SERVICE);
+    let deployment = start(22);
+    deployment.await_flow(1_000);
+    deployment.balancer.set_suspended(true);
+    deployment.store.configure("198.18.0.9", 443, SERVICE);
     std::thread::sleep(std::time::Duration::from_secs(3));
-    world.balancer.freeze(false);
-    world.await_no_route(2_000);
-    assert_eq!(world.ready(), 200);
+    deployment.balancer.set_suspended(false);
+    deployment.await_no_route(2_000);
+    assert_eq!(deployment.ready(), 200);
 }
 
 /// Guards against flows that end because their agent was suspended or restarted.
 #[test]
 fn flows_outlive_their_agent() {
-    let mut world = start(23);
-    let packet = world.await_flow(1_000);
+    let mut deployment = start(23);
+    let packet = deployment.await_flow(1_000);
     let port = u16::from_be_bytes([packet[0], packet[1]]);
     let answer = reply(&packet);
-    world.answer(&answer);
-    let later = world.later(port);
-    world.agent.freeze(true);
+    deployment.answer(&answer);
+    let later = deployment.later_packet(port);
+    deployment.agent.set_suspended(true);
     std::thread::sleep(std::time::Duration::from_secs(3));
-    world.agent.freeze(false);
-    world.await_packet(&later);
-    world.replace_agent(&[]);
+    deployment.agent.set_suspended(false);
+    deployment.await_packet(&later);
+    deployment.replace_agent(&[]);
     eventually("the agent acknowledges heartbeats", || {
-        world.heartbeat("ready", 3) == 200
+        deployment.heartbeat("ready", 3) == 200
     });
-    world.await_packet(&later);
-    while let Some(packet) = receive(&world.caller) {
+    deployment.await_packet(&later);
+    while let Some(packet) = receive(&deployment.caller) {
         assert!(!is_reset(&packet), "an open flow was reset");
     }
 }
--- a/crates/node/tests/soak_run/callers.rs
+++ b/crates/node/tests/soak_run/callers.rs
@@ -5,9 +5,9 @@
 use indexmap::IndexMap;
 use rand::Rng;
 use rand_pcg::Pcg64;
-use usher_forwarding::{Flags, Head};
-use usher_platform::{HEAD_BYTES, head, packet};
-use usher_platform_standin::{Nodes, PACKETS};
+use usher_forwarding::{Flags, PacketHeader};
+use usher_platform::{HEADER_BYTES, decode_header, encode_packet};
+use usher_platform_standin::{NodeLauncher, PACKET_PORT};
 
 use super::ROUTES;
 
@@ -38,7 +38,7 @@
 
 /// Callers that keep flows open and send on them through changing balancers.
 pub struct Callers {
-    nodes: Nodes,
+    nodes: NodeLauncher,
     socket: UdpSocket,
     random: Pcg64,
     flows: IndexMap<u16, Flow>,
@@ -49,8 +49,8 @@
 }
 
 impl Callers {
-    pub fn new(nodes: &Nodes, random: Pcg64) -> Self {
-        let socket = UdpSocket::bind(nodes.address(CALLER, PACKETS)).unwrap();
+    pub fn new(nodes: &NodeLauncher, random: Pcg64) -> Self {
+        let socket = UdpSocket::bind(nodes.address(CALLER, PACKET_PORT)).unwrap();
         socket.set_read_timeout(Some(RECEIVE_TIMEOUT)).unwrap();
         Self {
             nodes: nodes.clone(),
@@ -153,7 +153,7 @@
                 continue;
             };
             let packet = self.packet(port, route, open, first);
-            let to = self.nodes.address(*balancer, PACKETS);
+            let to = self.nodes.address(*balancer, PACKET_PORT);
             // A balancer that is down refuses; the packet is repeated.
             drop(self.socket.send_to(&packet, to));
         }
@@ -163,7 +163,7 @@
         let (address, target, _) = ROUTES[route];
         let mut source = self.nodes.address(CALLER, 0);
         source.set_port(port);
-        let head = Head {
+        let packet_header = PacketHeader {
             source,
             target: SocketAddrV4::new(address.parse().unwrap(), target),
             flags: Flags {
@@ -176,7 +176,7 @@
             data: 0,
             token: 0,
         };
-        packet(&head, b"")
+        encode_packet(&packet_header, b"")
     }
 
     fn receive(&mut self) {
@@ -196,12 +196,12 @@
     }
 
     fn handle(&mut self, packet: &[u8]) {
-        let head = head(packet).expect("nodes send whole packets");
-        let port = head.target.port();
+        let packet_header = decode_header(packet).expect("nodes send whole packets");
+        let port = packet_header.target.port();
         let Some(flow) = self.flows.get_mut(&port) else {
             return;
         };
-        if head.flags.resetting {
+        if packet_header.flags.resetting {
             let flow = self.flows.swap_remove(&port).unwrap();
             if flow.open {
                 self.assert_ended(port, &flow);
@@ -211,16 +211,16 @@
             }
             return;
         }
-        if head.flags.opening {
+        if packet_header.flags.opening {
             if !flow.open {
                 flow.open = true;
-                flow.first = head.sequence;
+                flow.first = packet_header.sequence;
                 flow.waiting = None;
                 self.count("accepted");
             }
             return;
         }
-        let answer = String::from_utf8(packet[HEAD_BYTES..].to_vec()).unwrap();
+        let answer = String::from_utf8(packet[HEADER_BYTES..].to_vec()).unwrap();
         let (_, _, service) = ROUTES[flow.route];
         assert!(
             answer.starts_with(service),
--- a/crates/node/tests/soak_run/mod.rs
+++ b/crates/node/tests/soak_run/mod.rs
@@ -10,7 +10,7 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 use usher_platform_standin::store::{Faults, Store};
-use usher_platform_standin::{Backend, Nodes, Process, STORE, STORE_PORT, eventually};
+use usher_platform_standin::{Backend, NodeLauncher, Process, STORE_HOST, STORE_PORT, eventually};
 
 use callers::Callers;
 use faults::{Action, Schedule};
@@ -35,7 +35,7 @@
 const RECOVERY_TIME: Duration = Duration::from_secs(6);
 
 pub struct Soak {
-    nodes: Nodes,
+    nodes: NodeLauncher,
     store: Store,
     balancers: IndexMap<u8, Option<Process>>,
     agents: IndexMap<u8, Option<Process>>,
@@ -48,8 +48,8 @@
 impl Soak {
     pub fn start(program: &Path, folder: &Path, seed: u64) -> Self {
         let net = FIRST_NET + seed % NETS;
-        let nodes = Nodes::new(program, folder, net as u8);
-        let store = Store::start(nodes.address(STORE, STORE_PORT));
+        let nodes = NodeLauncher::new(program, folder, net as u8);
+        let store = Store::start(nodes.address(STORE_HOST, STORE_PORT));
         store.configure_routes(&ROUTES);
         let mut soak = Self {
             balancers: BALANCERS
@@ -122,7 +122,7 @@
                 if let Some(mut process) = self.balancers[&host].take() {
                     process.terminate();
                     // Callers avoid it at once, as the routers do; the process ends by itself.
-                    std::thread::spawn(move || assert!(process.ended_well()));
+                    std::thread::spawn(move || assert!(process.exited_cleanly()));
                 }
             }
             Action::StartBalancer(host) => {
@@ -130,12 +130,12 @@
             }
             Action::FreezeBalancer(host, frozen) => {
                 if let Some(process) = &self.balancers[&host] {
-                    process.freeze(frozen);
+                    process.set_suspended(frozen);
                 }
             }
             Action::FreezeAgent(host, frozen) => {
                 if let Some(process) = &self.agents[&host] {
-                    process.freeze(frozen);
+                    process.set_suspended(frozen);
                 }
             }
             Action::KillAgent(host) => self.agents[&host] = None,
--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -1,6 +1,6 @@
 use indexmap::IndexSet;
 use usher_config::{Cache, Object};
-use usher_platform::{Listing, Object as PlatformObject, Watched};
+use usher_platform::{Listing, Object as PlatformObject, WatchAnswer};
 use usher_types::Version;
 
 use crate::{PlatformError, StoredObject};
@@ -60,15 +60,15 @@
     }
 
     /// Creates a batch with the last change of each object since a version.
-    pub(crate) fn changes(after: Version, watched: Watched) -> Self {
-        let mut batch = Self::empty(watched.at.max(after));
+    pub(crate) fn changes(after: Version, answer: WatchAnswer) -> Self {
+        let mut batch = Self::empty(answer.store_version.max(after));
         batch.after = after;
-        batch.report_ignored(watched.ignored);
+        batch.report_ignored(answer.ignored);
         let mut seen = IndexSet::new();
-        for (stored, removed) in watched.changes.into_iter().rev() {
+        for (stored, removed) in answer.changes.into_iter().rev() {
             if seen.insert(stored.name.clone()) {
                 // A removal carries only the object's last version; it happened at `through` or before.
-                batch.add_object(stored, removed.then_some(watched.at));
+                batch.add_object(stored, removed.then_some(answer.store_version));
             }
         }
         batch.objects.sort_by_key(|object| object.version);
--- a/crates/store/src/exchange.rs
+++ b/crates/store/src/exchange.rs
@@ -2,7 +2,7 @@
 use std::net::SocketAddrV4;
 
 use usher_config::ObjectKey;
-use usher_platform::{CallError, Client, Listing, Reply, Request, Watched};
+use usher_platform::{CallError, Client, Listing, Reply, Request, WatchAnswer};
 use usher_types::{Span, Version};
 
 use crate::stored_object::KIND;
@@ -72,8 +72,8 @@
         let reply = self.send(&request, wait).await?;
         match reply.status {
             OK => {
-                let watched = Watched::parse(&reply.body).map_err(unreadable)?;
-                Ok(Batch::changes(since, watched))
+                let answer = WatchAnswer::parse(&reply.body).map_err(unreadable)?;
+                Ok(Batch::changes(since, answer))
             }
             GONE => self.list().await,
             status => Err(PlatformError::Status(status).into()),
@@ -93,7 +93,9 @@
             let page = Listing::parse(&reply.body).map_err(unreadable)?;
             let more = page.more;
             after = page.objects.last().map(|object| object.name.clone());
-            batch.get_or_insert_with(|| Batch::empty(page.at)).add(page);
+            batch
+                .get_or_insert_with(|| Batch::empty(page.store_version))
+                .add(page);
             if !more || after.is_none() {
                 break;
             }
