--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -6,7 +6,7 @@
 use thiserror::Error;
 use usher_config::{ConfigError, ObjectKey, RolloutState};
 use usher_daemon::SettingsError;
-use usher_store::PlatformError;
+use usher_store::StoreError;
 use usher_types::{HostId, InstanceId, Peer, Version};
 
 use crate::ExitStatus;
@@ -45,7 +45,7 @@
     Write {
         written: Vec<ObjectKey>,
         total: usize,
-        cause: Box<PlatformError>,
+        cause: Box<StoreError>,
     },
 
     #[error("MU-8008: written, but another operator's change does not fit it:\n{}", lines(.0))]
@@ -103,7 +103,7 @@
 
     #[error(transparent)]
     #[diagnostic(help("check the address of the store and whether it is up"))]
-    Platform(#[from] PlatformError),
+    Platform(#[from] StoreError),
 }
 
 fn waiting(state: &RolloutState) -> String {
@@ -133,9 +133,9 @@
     }
 }
 
-fn diff(cause: &PlatformError) -> String {
+fn diff(cause: &StoreError) -> String {
     match cause {
-        PlatformError::Conflict(conflict) => format!("\n{}", conflict.diff()),
+        StoreError::Conflict(conflict) => format!("\n{}", conflict.diff()),
         _ => String::new(),
     }
 }
@@ -170,10 +170,10 @@
     }
 }
 
-fn platform_status(cause: &PlatformError) -> ExitStatus {
+fn platform_status(cause: &StoreError) -> ExitStatus {
     match cause {
-        PlatformError::Conflict(_) => ExitStatus::Conflict,
-        PlatformError::Unknown { .. } => ExitStatus::TimedOut,
+        StoreError::Conflict(_) => ExitStatus::Conflict,
+        StoreError::Unknown { .. } => ExitStatus::TimedOut,
         _ => ExitStatus::Failed,
     }
 }
--- a/crates/config/src/cache.rs
+++ b/crates/config/src/cache.rs
@@ -77,10 +77,10 @@
     /// use usher_config::Cache;
     /// use usher_types::Version;
     /// let mut cache = Cache::default();
-    /// assert_eq!(cache.adopt_since(Version::new(0), Version::new(4), Vec::new()), 0);
+    /// assert_eq!(cache.apply_since(Version::new(0), Version::new(4), Vec::new()), 0);
     /// assert_eq!(cache.complete(), Version::new(4));
     /// ```
-    pub fn adopt_since(&mut self, after: Version, through: Version, objects: Vec<Object>) -> usize {
+    pub fn apply_since(&mut self, after: Version, through: Version, objects: Vec<Object>) -> usize {
         let adopted = objects
             .into_iter()
             .map(|object| self.adopt(object))
--- a/crates/config/tests/cache.rs
+++ b/crates/config/tests/cache.rs
@@ -49,12 +49,12 @@
         (cache.revision(), cache.complete()),
         (Version::new(9), Version::new(0))
     );
-    cache.adopt_since(Version::new(3), Version::new(12), Vec::new());
+    cache.apply_since(Version::new(3), Version::new(12), Vec::new());
     assert_eq!(cache.complete(), Version::new(0), "1 to 3 were not seen");
-    cache.adopt_since(Version::new(0), Version::new(5), Vec::new());
-    cache.adopt_since(Version::new(3), Version::new(12), Vec::new());
+    cache.apply_since(Version::new(0), Version::new(5), Vec::new());
+    cache.apply_since(Version::new(3), Version::new(12), Vec::new());
     assert_eq!(cache.complete(), Version::new(12));
-    cache.adopt_since(Version::new(0), Version::new(5), Vec::new());
+    cache.apply_since(Version::new(0), Version::new(5), Vec::new());
     assert_eq!(cache.complete(), Version::new(12));
 }
 
--- a/crates/dedupe/src/ownership.rs
+++ b/crates/dedupe/src/ownership.rs
@@ -27,7 +27,7 @@
 pub fn owner_of(roster: &Roster, key: RequestKey) -> Option<Agent> {
     let seed = (key.get() >> 64) as u64 ^ key.get() as u64;
     let members = roster.members.keys().map(|host| (host, Weight::NOMINAL));
-    let host = usher_placement::first(seed, members)?;
+    let host = usher_placement::highest_ranked(seed, members)?;
     let incarnation = roster.members.get(host)?.incarnation;
     Some(Agent {
         host: host.clone(),
--- a/crates/flows/src/table/membership.rs
+++ b/crates/flows/src/table/membership.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-use usher_placement::{bucket_of, first, rank};
+use usher_placement::{bucket_of, highest_ranked, rank};
 use usher_types::{
     Buckets, FlowId, HostId, HostState, Member, Roster, Span, Time, Version, Weight,
 };
@@ -57,7 +57,7 @@
     /// Agents that owned a flow's bucket under earlier rosters.
     pub(super) fn earlier_owners(&self, flow: &FlowId, buckets: Buckets) -> Vec<SocketAddrV4> {
         let owner = |roster: &Arc<Roster>| {
-            let host = first(bucket_key(flow, buckets), serving(roster))?;
+            let host = highest_ranked(bucket_key(flow, buckets), serving(roster))?;
             Some(roster.members.get(host)?.agent)
         };
         self.earlier.iter().filter_map(owner).collect()
@@ -113,7 +113,7 @@
         is_included: impl Fn(&HostId) -> bool,
     ) -> Option<(&HostId, &Member)> {
         let members = serving(&self.roster).filter(|(host, _)| is_included(host));
-        let host = first(bucket_key(flow, buckets), members)?;
+        let host = highest_ranked(bucket_key(flow, buckets), members)?;
         self.roster.members.get_key_value(host)
     }
 }
--- a/crates/forwarding/src/fleet.rs
+++ b/crates/forwarding/src/fleet.rs
@@ -1,5 +1,5 @@
 use indexmap::IndexMap;
-use usher_placement::rendezvous;
+use usher_placement::rendezvous_score;
 use usher_types::{DataCentre, Span, Time, Version};
 
 use crate::member::{Member, SILENCE_TIMEOUT};
@@ -324,5 +324,5 @@
     let key = u64::from(u32::from(agent.address()));
     let preference = if near { LOCAL_PREFERENCE } else { 1 };
     let weight = capacity.millicores().saturating_mul(preference);
-    rendezvous(key, &balancer.address().octets(), weight)
+    rendezvous_score(key, &balancer.address().octets(), weight)
 }
--- a/crates/members/src/watch.rs
+++ b/crates/members/src/watch.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 
 use indexmap::IndexMap;
-use usher_placement::first;
+use usher_placement::highest_ranked;
 use usher_types::{Beat, HostId, Incarnation, Peer, Roster, Span, Time, Weight};
 
 use crate::balancers::Balancers;
@@ -152,7 +152,7 @@
         }
         let live = self.live().chain([own]);
         let members = live.map(|host| (host, Weight::NOMINAL));
-        if first(self.roster.version.get(), members) != Some(own) {
+        if highest_ranked(self.roster.version.get(), members) != Some(own) {
             return None;
         }
         self.next_removal = now + REMOVAL_RETRY;
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -8,4 +8,4 @@
 
 pub use bucket::bucket_of;
 pub use key::key_of;
-pub use rank::{first, rank, rendezvous};
+pub use rank::{highest_ranked, rank, rendezvous_score};
--- a/crates/placement/src/rank.rs
+++ b/crates/placement/src/rank.rs
@@ -28,10 +28,10 @@
 /// Returns the member with the highest score for a key; `None` without members.
 ///
 /// ```
-/// let none = usher_placement::first(7, []);
+/// let none = usher_placement::highest_ranked(7, []);
 /// assert!(none.is_none());
 /// ```
-pub fn first<'a>(
+pub fn highest_ranked<'a>(
     key: u64,
     members: impl IntoIterator<Item = (&'a HostId, Weight)>,
 ) -> Option<&'a HostId> {
@@ -43,7 +43,7 @@
 }
 
 fn score(key: u64, host: &HostId, weight: Weight) -> f64 {
-    rendezvous(key, host.as_str().as_bytes(), weight.get())
+    rendezvous_score(key, host.as_str().as_bytes(), weight.get())
 }
 
 /// Computes the weighted rendezvous score of a member for a key.
@@ -53,10 +53,10 @@
 /// The share of keys for which a member comes first is proportional to its weight.
 ///
 /// ```
-/// use usher_placement::rendezvous;
-/// assert!(rendezvous(7, b"a", 1) > 0.0);
+/// use usher_placement::rendezvous_score;
+/// assert!(rendezvous_score(7, b"a", 1) > 0.0);
 /// ```
-pub fn rendezvous(key: u64, member: &[u8], weight: u32) -> f64 {
+pub fn rendezvous_score(key: u64, member: &[u8], weight: u32) -> f64 {
     // -w / ln(u), with u uniform in (0, 1).
     let hash = xxh3_64_with_seed(member, key);
     let uniform = ((hash >> 11) as f64 + 0.5) / (1_u64 << 53) as f64;
--- a/crates/routing/src/quarantine.rs
+++ b/crates/routing/src/quarantine.rs
@@ -17,8 +17,8 @@
 /// let address = "192.0.2.1:80".parse().unwrap();
 /// let (one, other) = ("namedesk".parse()?, "pedigree".parse()?);
 /// let mut quarantine = Quarantine::default();
-/// quarantine.note(Time::ZERO, [(address, &one)]);
-/// quarantine.note(Time::ZERO, [(address, &other)]);
+/// quarantine.update(Time::ZERO, [(address, &one)]);
+/// quarantine.update(Time::ZERO, [(address, &other)]);
 /// assert!(!quarantine.admits(Time::ZERO, address));
 /// assert!(quarantine.admits(Time::ZERO + Span::from_secs(30), address));
 /// # Ok::<(), usher_types::ParseError>(())
@@ -39,7 +39,7 @@
 
 impl Quarantine {
     /// Records which service has which address at `now`.
-    pub fn note<'a>(
+    pub fn update<'a>(
         &mut self,
         now: Time,
         services: impl IntoIterator<Item = (SocketAddrV4, &'a ServiceName)>,
--- a/crates/routing/src/ranked_hosts.rs
+++ b/crates/routing/src/ranked_hosts.rs
@@ -1,7 +1,7 @@
 use std::net::SocketAddrV4;
 
 use indexmap::IndexMap;
-use usher_placement::first;
+use usher_placement::highest_ranked;
 use usher_types::{Bucket, Buckets, HostId, HostState, Roster, Weight};
 
 /// Candidates per bucket; with 3, two hosts may fail before the roster changes.
@@ -157,8 +157,8 @@
         entries: impl Iterator<Item = &'a WeightedHost>,
     ) -> Option<usize> {
         let members = entries.map(|entry| (&self.hosts[entry.host as usize], entry.weight));
-        let host = first(u64::from(bucket.get()), members)?;
-        // `first` returns a reference into `hosts`, so its position there is the index.
+        let host = highest_ranked(u64::from(bucket.get()), members)?;
+        // `highest_ranked` returns a reference into `hosts`, so its position there is the index.
         self.hosts
             .iter()
             .position(|known| std::ptr::eq(known, host))
--- a/crates/runtime/src/balancer/control.rs
+++ b/crates/runtime/src/balancer/control.rs
@@ -276,7 +276,7 @@
         self.outdated = false;
         let time = now();
         let entries = self.core.state.services();
-        self.quarantine.note(
+        self.quarantine.update(
             time,
             entries.map(|entry| (entry.service.address, &entry.name)),
         );
--- a/crates/runtime/src/control/state.rs
+++ b/crates/runtime/src/control/state.rs
@@ -29,7 +29,7 @@
             .filter(|object| self.is_newer(object))
             .map(Object::key)
             .collect();
-        self.cache.adopt_since(after, through, objects);
+        self.cache.apply_since(after, through, objects);
         if changed
             .iter()
             .any(|key| matches!(key.kind, Kind::Service | Kind::Profile))
--- a/crates/runtime/src/control/writer.rs
+++ b/crates/runtime/src/control/writer.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 
 use usher_config::{Condition, Kind, Object, ObjectKey, Value};
-use usher_store::{PlatformError, Store};
+use usher_store::{Store, StoreError};
 use usher_types::{DataCentre, Fleet, Roster, ServiceName, Version};
 
 /// Edits a service's roster, with a write conditional on the version read.
@@ -14,7 +14,7 @@
     store: &Store,
     service: &ServiceName,
     edit: impl FnOnce(&Roster) -> Option<Roster>,
-) -> Result<Option<Arc<Roster>>, PlatformError> {
+) -> Result<Option<Arc<Roster>>, StoreError> {
     let key = key(Kind::Roster, service.as_str())?;
     let current = store.get(&key).await?;
     let mut roster = match current.as_ref().and_then(|object| object.value.as_ref()) {
@@ -43,7 +43,7 @@
     store: &Store,
     centre: &DataCentre,
     edit: impl FnOnce(&mut Fleet) -> bool,
-) -> Result<bool, PlatformError> {
+) -> Result<bool, StoreError> {
     let key = key(Kind::Fleet, centre.as_str())?;
     let current = store.get(&key).await?;
     let mut fleet = match current.as_ref().and_then(|object| object.value.as_ref()) {
@@ -61,10 +61,10 @@
     Ok(true)
 }
 
-fn key(kind: Kind, name: &str) -> Result<ObjectKey, PlatformError> {
+fn key(kind: Kind, name: &str) -> Result<ObjectKey, StoreError> {
     let name = name
         .parse()
-        .map_err(|error: usher_config::ConfigError| PlatformError::Unreadable(error.to_string()))?;
+        .map_err(|error: usher_config::ConfigError| StoreError::Unreadable(error.to_string()))?;
     Ok(ObjectKey::new(kind, name))
 }
 
--- a/crates/scenario/src/agent_node.rs
+++ b/crates/scenario/src/agent_node.rs
@@ -140,7 +140,7 @@
         through: Version,
         objects: Vec<Object>,
     ) {
-        if self.cache.adopt_since(after, through, objects) > 0 {
+        if self.cache.apply_since(after, through, objects) > 0 {
             self.apply(now);
         }
     }
--- a/crates/scenario/src/balancer_node.rs
+++ b/crates/scenario/src/balancer_node.rs
@@ -109,7 +109,7 @@
         through: Version,
         objects: Vec<Object>,
     ) {
-        if self.cache.adopt_since(after, through, objects) == 0 {
+        if self.cache.apply_since(after, through, objects) == 0 {
             return;
         }
         let services: Vec<ServiceName> = self.cache.services().map(|(name, _)| name).collect();
@@ -184,7 +184,7 @@
     fn publish(&mut self, now: Time) {
         let services: Vec<_> = self.cache.services().collect();
         let addresses = services.iter().map(|(name, entry)| (entry.address, name));
-        self.quarantine.note(now, addresses);
+        self.quarantine.update(now, addresses);
         self.release = self.quarantine.next_release(now);
         let usable = services
             .iter()
--- a/crates/scenario/src/world/mod.rs
+++ b/crates/scenario/src/world/mod.rs
@@ -328,7 +328,7 @@
     fn read_all(&mut self) -> Cache {
         let (through, objects) = self.store.since(Version::default(), &mut self.rng);
         let mut cache = Cache::default();
-        cache.adopt_since(Version::default(), through, objects);
+        cache.apply_since(Version::default(), through, objects);
         cache
     }
 }
--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -3,7 +3,7 @@
 use usher_platform::{Listing, Object as PlatformObject, WatchAnswer};
 use usher_types::Version;
 
-use crate::{PlatformError, StoredObject};
+use crate::{StoreError, StoredObject};
 
 /// Objects changed after a version, in version order and including tombstones.
 #[derive(Debug)]
@@ -15,7 +15,7 @@
     /// Objects that could be decoded.
     pub objects: Vec<Object>,
     /// Errors of the objects that could not be decoded; the others are still returned.
-    pub unreadable: Vec<PlatformError>,
+    pub unreadable: Vec<StoreError>,
 }
 
 impl Batch {
@@ -34,11 +34,11 @@
     ///     unreadable: Vec::new(),
     /// };
     /// let mut cache = Cache::default();
-    /// assert_eq!(batch.adopt_into(&mut cache), 0);
+    /// assert_eq!(batch.apply_to(&mut cache), 0);
     /// assert_eq!(cache.complete(), Version::new(2));
     /// ```
-    pub fn adopt_into(self, cache: &mut Cache) -> usize {
-        cache.adopt_since(self.after, self.through, self.objects)
+    pub fn apply_to(self, cache: &mut Cache) -> usize {
+        cache.apply_since(self.after, self.through, self.objects)
     }
 
     /// Creates an empty batch of the changes since the first version.
@@ -89,7 +89,7 @@
     fn report_ignored(&mut self, count: usize) {
         if count > 0 {
             let text = format!("{count} entries are not objects");
-            self.unreadable.push(PlatformError::Unreadable(text));
+            self.unreadable.push(StoreError::Unreadable(text));
         }
     }
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -5,7 +5,7 @@
 /// Failure of a call to the store (`MU-3xxx`).
 #[derive(Debug, Error)]
 #[non_exhaustive]
-pub enum PlatformError {
+pub enum StoreError {
     /// No attempt was answered; nothing was written.
     #[error("MU-3001: the store at {address} does not answer: {cause}")]
     Unreachable {
@@ -56,11 +56,11 @@
     },
 }
 
-impl PlatformError {
+impl StoreError {
     /// Returns the error number, for example `MU-3005`.
     ///
     /// ```
-    /// assert_eq!(usher_store::PlatformError::Status(418).code(), "MU-3005");
+    /// assert_eq!(usher_store::StoreError::Status(418).code(), "MU-3005");
     /// ```
     pub fn code(&self) -> &'static str {
         match self {
--- a/crates/store/src/exchange.rs
+++ b/crates/store/src/exchange.rs
@@ -6,7 +6,7 @@
 use usher_types::{Span, Version};
 
 use crate::stored_object::KIND;
-use crate::{Batch, PlatformError, StoredObject};
+use crate::{Batch, StoreError, StoredObject};
 
 pub(crate) const OK: u16 = 200;
 pub(crate) const CREATED: u16 = 201;
@@ -29,7 +29,7 @@
     /// The outcome is unknown: the store may have executed the request.
     NoAnswer(String),
     /// The store answered; a retry would get the same answer.
-    Final(PlatformError),
+    Final(StoreError),
 }
 
 impl Exchange {
@@ -59,7 +59,7 @@
         match reply.status {
             OK => Ok(Some(StoredObject::parse(&reply.body)?)),
             NOT_FOUND => Ok(None),
-            status => Err(PlatformError::Status(status).into()),
+            status => Err(StoreError::Status(status).into()),
         }
     }
 
@@ -76,7 +76,7 @@
                 Ok(Batch::changes(since, answer))
             }
             GONE => self.list().await,
-            status => Err(PlatformError::Status(status).into()),
+            status => Err(StoreError::Status(status).into()),
         }
     }
 
@@ -88,7 +88,7 @@
             let request = Request::list(KIND, after.as_deref(), false);
             let reply = self.send(&request, Span::ZERO).await?;
             if reply.status != OK {
-                return Err(PlatformError::Status(reply.status).into());
+                return Err(StoreError::Status(reply.status).into());
             }
             let page = Listing::parse(&reply.body).map_err(unreadable)?;
             let more = page.more;
@@ -106,12 +106,12 @@
     }
 }
 
-impl From<PlatformError> for Failure {
-    fn from(error: PlatformError) -> Self {
+impl From<StoreError> for Failure {
+    fn from(error: StoreError) -> Self {
         Self::Final(error)
     }
 }
 
 fn unreadable(error: impl Display) -> Failure {
-    Failure::Final(PlatformError::Unreadable(error.to_string()))
+    Failure::Final(StoreError::Unreadable(error.to_string()))
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -15,7 +15,7 @@
 
 pub use batch::Batch;
 pub use codec::{decode, encode};
-pub use error::PlatformError;
+pub use error::StoreError;
 pub use limits::Limits;
 pub use store::Store;
 
--- a/crates/store/src/retry_client.rs
+++ b/crates/store/src/retry_client.rs
@@ -9,7 +9,7 @@
 use crate::backoff::{Backoff, random_fraction};
 use crate::exchange::{CONFLICT, CREATED, Exchange, Failure, NOT_FOUND, OK};
 use crate::stored_object::{expected_version, write_request};
-use crate::{Batch, Limits, PlatformError, StoredObject, encode};
+use crate::{Batch, Limits, StoreError, StoredObject, encode};
 
 /// Retries requests within the limits until their outcome is known.
 #[derive(Debug, Clone)]
@@ -35,7 +35,7 @@
         WriteId::new(random.random())
     }
 
-    pub(crate) async fn write(&self, write: Write) -> Result<Version, PlatformError> {
+    pub(crate) async fn write(&self, write: Write) -> Result<Version, StoreError> {
         self.check_size(&write.change)?;
         let mut backoff = Backoff::new(&self.limits, Span::ZERO);
         let mut pending = Pending::new(write);
@@ -62,7 +62,7 @@
             pending = match step {
                 Step::Done(version) => return Ok(version),
                 Step::Conflict(conflict) => {
-                    return Err(PlatformError::Conflict(Box::new(conflict)));
+                    return Err(StoreError::Conflict(Box::new(conflict)));
                 }
                 Step::Retry(pending) => pending,
                 Step::ReadBack(_) => unreachable!("reading back ends with another step"),
@@ -101,7 +101,7 @@
                 Err(_unreadable) => Ok(Answer::Lost),
             },
             NOT_FOUND => Ok(Answer::Refused(None)),
-            status => Err(PlatformError::Status(status).into()),
+            status => Err(StoreError::Status(status).into()),
         }
     }
 
@@ -109,7 +109,7 @@
         &self,
         pending: Pending<Lost>,
         backoff: &mut Backoff,
-    ) -> Result<Step, PlatformError> {
+    ) -> Result<Step, StoreError> {
         let key = pending.write().change.key.clone();
         let mut cause = "no answer".to_owned();
         while backoff.pause(self.jitter()).await {
@@ -126,9 +126,9 @@
     }
 
     // The error after the last attempt; a write with a lost answer has an unknown outcome.
-    fn final_error(&self, write: &Write, answer_lost: bool, cause: String) -> PlatformError {
+    fn final_error(&self, write: &Write, answer_lost: bool, cause: String) -> StoreError {
         if answer_lost {
-            return PlatformError::Unknown {
+            return StoreError::Unknown {
                 key: write.change.key.clone(),
                 id: write.id,
                 cause,
@@ -137,13 +137,13 @@
         self.unreachable(cause)
     }
 
-    fn unreachable(&self, cause: String) -> PlatformError {
+    fn unreachable(&self, cause: String) -> StoreError {
         let address = self.address.to_string();
-        PlatformError::Unreachable { address, cause }
+        StoreError::Unreachable { address, cause }
     }
 
     /// Reads one object; `None` if it never existed.
-    pub(crate) async fn get(&self, key: &ObjectKey) -> Result<Option<StoredObject>, PlatformError> {
+    pub(crate) async fn get(&self, key: &ObjectKey) -> Result<Option<StoredObject>, StoreError> {
         let mut backoff = Backoff::new(&self.limits, Span::ZERO);
         loop {
             let found = self.exchange.get(key).await;
@@ -154,7 +154,7 @@
     }
 
     /// Reads the changes since a version; waits up to `wait` for one.
-    pub(crate) async fn since(&self, since: Version, wait: Span) -> Result<Batch, PlatformError> {
+    pub(crate) async fn since(&self, since: Version, wait: Span) -> Result<Batch, StoreError> {
         let mut backoff = Backoff::new(&self.limits, wait);
         loop {
             let found = self.exchange.since(since, wait).await;
@@ -169,7 +169,7 @@
         &self,
         found: Result<T, Failure>,
         backoff: &mut Backoff,
-    ) -> Result<Option<T>, PlatformError> {
+    ) -> Result<Option<T>, StoreError> {
         let cause = match found {
             Ok(found) => return Ok(Some(found)),
             Err(Failure::Final(error)) => return Err(error),
@@ -181,11 +181,11 @@
         Err(self.unreachable(cause))
     }
 
-    fn check_size(&self, change: &Change) -> Result<(), PlatformError> {
+    fn check_size(&self, change: &Change) -> Result<(), StoreError> {
         let encoded = change.value.as_ref().and_then(|value| encode(value).ok());
         let size = ByteCount::new(encoded.map_or(0, |bytes| bytes.len() as u64));
         if size > self.limits.value {
-            return Err(PlatformError::TooLarge {
+            return Err(StoreError::TooLarge {
                 key: change.key.clone(),
                 size,
                 limit: self.limits.value,
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -4,7 +4,7 @@
 use usher_types::{Span, Version};
 
 use crate::retry_client::RetryClient;
-use crate::{Batch, Limits, PlatformError, StoredObject};
+use crate::{Batch, Limits, StoreError, StoredObject};
 
 /// Client for the project's own objects in the platform's store.
 ///
@@ -17,7 +17,7 @@
 /// # async_std::task::block_on(async {
 /// let store = Store::new("127.0.0.1:7000".parse().unwrap(), Limits::default());
 /// let batch = store.list(Some(Kind::Service), Default::default()).await?;
-/// # Ok::<(), usher_store::PlatformError>(())
+/// # Ok::<(), usher_store::StoreError>(())
 /// # }).unwrap();
 /// ```
 #[derive(Debug, Clone)]
@@ -57,10 +57,10 @@
     /// # async_std::task::block_on(async {
     /// # let store = usher_store::Store::new("127.0.0.1:7000".parse().unwrap(), Default::default());
     /// let object = store.get(&"profile/fast".parse().unwrap()).await?;
-    /// # Ok::<(), usher_store::PlatformError>(())
+    /// # Ok::<(), usher_store::StoreError>(())
     /// # }).unwrap();
     /// ```
-    pub async fn get(&self, key: &ObjectKey) -> Result<Option<Object>, PlatformError> {
+    pub async fn get(&self, key: &ObjectKey) -> Result<Option<Object>, StoreError> {
         let stored = self.client.get(key).await?;
         stored.map(StoredObject::object).transpose()
     }
@@ -74,10 +74,10 @@
     /// # async_std::task::block_on(async {
     /// # let store = usher_store::Store::new("127.0.0.1:7000".parse().unwrap(), Default::default());
     /// let batch = store.list(None, Default::default()).await?;
-    /// # Ok::<(), usher_store::PlatformError>(())
+    /// # Ok::<(), usher_store::StoreError>(())
     /// # }).unwrap();
     /// ```
-    pub async fn list(&self, kind: Option<Kind>, since: Version) -> Result<Batch, PlatformError> {
+    pub async fn list(&self, kind: Option<Kind>, since: Version) -> Result<Batch, StoreError> {
         self.watch(kind, since, Span::ZERO).await
     }
 
@@ -91,7 +91,7 @@
     /// # let store = usher_store::Store::new("127.0.0.1:7000".parse().unwrap(), Default::default());
     /// let wait = usher_types::Span::from_secs(30);
     /// let batch = store.watch(None, Default::default(), wait).await?;
-    /// # Ok::<(), usher_store::PlatformError>(())
+    /// # Ok::<(), usher_store::StoreError>(())
     /// # }).unwrap();
     /// ```
     pub async fn watch(
@@ -99,7 +99,7 @@
         kind: Option<Kind>,
         since: Version,
         wait: Span,
-    ) -> Result<Batch, PlatformError> {
+    ) -> Result<Batch, StoreError> {
         let mut batch = self.client.since(since, wait).await?;
         if let Some(kind) = kind {
             batch.objects.retain(|object| object.kind == kind);
@@ -118,7 +118,7 @@
     /// # let store = usher_store::Store::new("127.0.0.1:7000".parse().unwrap(), Default::default());
     /// let value = usher_types::Profile::default().into();
     /// store.put("profile/fast".parse().unwrap(), Condition::Absent, value).await?;
-    /// # Ok::<(), usher_store::PlatformError>(())
+    /// # Ok::<(), usher_store::StoreError>(())
     /// # }).unwrap();
     /// ```
     pub async fn put(
@@ -126,7 +126,7 @@
         key: ObjectKey,
         condition: Condition,
         value: Value,
-    ) -> Result<Version, PlatformError> {
+    ) -> Result<Version, StoreError> {
         let value = Some(value);
         self.write(Change {
             key,
@@ -146,10 +146,10 @@
     /// # let store = usher_store::Store::new("127.0.0.1:7000".parse().unwrap(), Default::default());
     /// let version = usher_types::Version::new(4);
     /// store.delete("profile/fast".parse().unwrap(), version).await?;
-    /// # Ok::<(), usher_store::PlatformError>(())
+    /// # Ok::<(), usher_store::StoreError>(())
     /// # }).unwrap();
     /// ```
-    pub async fn delete(&self, key: ObjectKey, version: Version) -> Result<Version, PlatformError> {
+    pub async fn delete(&self, key: ObjectKey, version: Version) -> Result<Version, StoreError> {
         let condition = Condition::Version(version);
         let value = None;
         self.write(Change {
@@ -173,10 +173,10 @@
     /// # let condition = usher_config::Condition::Absent;
     /// # let value = Some(usher_types::Profile::default().into());
     /// store.write(usher_config::Change { key, condition, value }).await?;
-    /// # Ok::<(), usher_store::PlatformError>(())
+    /// # Ok::<(), usher_store::StoreError>(())
     /// # }).unwrap();
     /// ```
-    pub async fn write(&self, change: Change) -> Result<Version, PlatformError> {
+    pub async fn write(&self, change: Change) -> Result<Version, StoreError> {
         let id = self.write_id();
         self.write_as(Write { id, change }).await
     }
@@ -194,10 +194,10 @@
     /// # let change = usher_config::Change { key, condition, value: None };
     /// let id = store.write_id();
     /// store.write_as(usher_config::Write { id, change }).await?;
-    /// # Ok::<(), usher_store::PlatformError>(())
+    /// # Ok::<(), usher_store::StoreError>(())
     /// # }).unwrap();
     /// ```
-    pub async fn write_as(&self, write: Write) -> Result<Version, PlatformError> {
+    pub async fn write_as(&self, write: Write) -> Result<Version, StoreError> {
         self.client.write(write).await
     }
 }
--- a/crates/store/src/stored_object.rs
+++ b/crates/store/src/stored_object.rs
@@ -4,7 +4,7 @@
 use usher_platform::{Object as PlatformObject, Request};
 use usher_types::Version;
 
-use crate::{PlatformError, decode, encode};
+use crate::{StoreError, decode, encode};
 
 /// Kind of all objects of the project; one watch covers them all.
 pub(crate) const KIND: &str = "marigoldusher";
@@ -38,10 +38,10 @@
     }
 
     /// Decodes the object in the body of an answer.
-    pub(crate) fn parse(body: &[u8]) -> Result<Self, PlatformError> {
+    pub(crate) fn parse(body: &[u8]) -> Result<Self, StoreError> {
         let stored = PlatformObject::parse(body);
         stored
-            .map_err(|error| PlatformError::Unreadable(error.to_string()))?
+            .map_err(|error| StoreError::Unreadable(error.to_string()))?
             .try_into()
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// Decodes the value.
-    pub(crate) fn object(self) -> Result<Object, PlatformError> {
+    pub(crate) fn object(self) -> Result<Object, StoreError> {
         let kind = self.key.kind;
         let value = self.spec.value.map(|json| decode(kind, json)).transpose();
         let value = value.map_err(|cause| value_error(&self.key.to_string(), &cause))?;
@@ -68,9 +68,9 @@
 }
 
 impl TryFrom<PlatformObject> for StoredObject {
-    type Error = PlatformError;
+    type Error = StoreError;
 
-    fn try_from(stored: PlatformObject) -> Result<Self, PlatformError> {
+    fn try_from(stored: PlatformObject) -> Result<Self, StoreError> {
         let path = stored.name.replacen(SEPARATOR, "/", 1);
         let key = path.parse().map_err(|cause| value_error(&path, &cause))?;
         let spec = Spec::deserialize(stored.spec).map_err(|cause| value_error(&path, &cause))?;
@@ -88,7 +88,7 @@
 pub(crate) fn write_request(
     write: &Write,
     replaced: Option<Version>,
-) -> Result<Request, PlatformError> {
+) -> Result<Request, StoreError> {
     let change = &write.change;
     let encode_error = |cause: serde_json::Error| value_error(&change.key.to_string(), &cause);
     let value = change.value.as_ref().map(encode).transpose();
@@ -114,8 +114,8 @@
     }
 }
 
-fn value_error(key: &str, cause: &dyn std::fmt::Display) -> PlatformError {
-    PlatformError::Value {
+fn value_error(key: &str, cause: &dyn std::fmt::Display) -> StoreError {
+    StoreError::Value {
         key: key.to_owned(),
         cause: cause.to_string(),
     }
--- a/crates/store/tests/contract.rs
+++ b/crates/store/tests/contract.rs
@@ -9,7 +9,7 @@
 use usher_config::{Cache, Condition, Kind, Object, ObjectKey, Value};
 use usher_platform::{Client, Request};
 use usher_platform_standin::store as standin;
-use usher_store::{Limits, PlatformError, Store};
+use usher_store::{Limits, Store, StoreError};
 use usher_types::{Profile, Span, Version};
 
 // Kind of the project's objects in the store.
@@ -91,7 +91,7 @@
         .store
         .put(key("fast"), Condition::Absent, profile(6))
         .await;
-    assert_matches!(again, Err(PlatformError::Conflict(conflict)) => {
+    assert_matches!(again, Err(StoreError::Conflict(conflict)) => {
         assert_eq!(conflict.diff().to_string(), "hunt: 5ms -> 6ms\n");
         assert!(!conflict.uncertain);
     });
@@ -105,7 +105,7 @@
         .store
         .put(key("fast"), Condition::Version(first), profile(8))
         .await;
-    assert_matches!(late, Err(PlatformError::Conflict(_)));
+    assert_matches!(late, Err(StoreError::Conflict(_)));
     let object = fixture.store.get(&key("fast")).await.unwrap();
     assert_eq!(object.as_ref().map(|object| object.version), Some(second));
     assert_eq!(hunt(object), Some(Span::from_millis(7)));
@@ -157,7 +157,7 @@
     fixture.create("fast").await;
     fixture.faults(json!({ "delay_ms": 300 }));
     let late = fixture.store.get(&key("slow")).await;
-    assert_matches!(late, Err(PlatformError::Unreachable { .. }));
+    assert_matches!(late, Err(StoreError::Unreachable { .. }));
     fixture.faults(json!({}));
     for _ in 0..20 {
         let object = fixture.store.get(&key("fast")).await.unwrap().unwrap();
@@ -175,19 +175,19 @@
         fixture.faults(json!({ "down": down }));
         let start = Instant::now();
         let read = fixture.store.get(&key("fast")).await;
-        assert_matches!(read, Err(PlatformError::Unreachable { .. }));
+        assert_matches!(read, Err(StoreError::Unreachable { .. }));
         let written = fixture
             .store
             .put(key("fast"), Condition::Absent, profile(5))
             .await;
-        assert_matches!(written, Err(PlatformError::Unknown { .. }));
+        assert_matches!(written, Err(StoreError::Unknown { .. }));
         assert!(start.elapsed() < Duration::from_secs(4));
     }
     let unreachable = Store::new("127.0.0.1:1".parse().unwrap(), limits());
     let written = unreachable
         .put(key("fast"), Condition::Absent, profile(5))
         .await;
-    assert_matches!(written, Err(PlatformError::Unreachable { .. }));
+    assert_matches!(written, Err(StoreError::Unreachable { .. }));
 }
 
 // Guards against a call that fails in an outage shorter than its time limit.
@@ -221,7 +221,7 @@
     assert_eq!(batch.objects.len(), 1);
     assert_eq!(fixture.server.stats().reads, 1);
     let mut cache = Cache::default();
-    batch.adopt_into(&mut cache);
+    batch.apply_to(&mut cache);
     assert_eq!(
         cache.complete(),
         Version::default(),
@@ -249,7 +249,7 @@
     assert_eq!(batch.objects.len(), 1);
     assert_eq!(batch.unreadable.len(), 2);
     for error in batch.unreadable {
-        assert_matches!(error, PlatformError::Value { .. });
+        assert_matches!(error, StoreError::Value { .. });
     }
 }
 
@@ -265,7 +265,7 @@
     };
     let store = Store::new(address(&fixture.server), small);
     let refused = store.put(key("big"), Condition::Absent, profile(5)).await;
-    assert_matches!(refused, Err(PlatformError::TooLarge { .. }));
+    assert_matches!(refused, Err(StoreError::TooLarge { .. }));
     assert_eq!(fixture.server.stats().writes, 0);
 }
 
@@ -321,5 +321,5 @@
         .store
         .put(key("fast"), Condition::Absent, profile(6))
         .await;
-    assert_matches!(again, Err(PlatformError::Conflict(_)));
+    assert_matches!(again, Err(StoreError::Conflict(_)));
 }
