--- a/crates/runtime/src/control/call.rs
+++ b/crates/runtime/src/control/call.rs
@@ -102,7 +102,7 @@
     module.register_async_method("handover", |params, events, _| async move {
         let request: HandoverRequest = params.one()?;
         let taken = ask(&events, |reply| Call::TakeOver(request, reply)).await?;
-        taken.ok_or_else(|| error(WRONG_SERVICE, "MU-6005: not taken over"))
+        taken.ok_or_else(|| error(WRONG_SERVICE, "MU-6005: handover refused"))
     })?;
     Ok(module)
 }
--- a/crates/runtime/src/event.rs
+++ b/crates/runtime/src/event.rs
@@ -9,7 +9,7 @@
     LEFT = 1102, Info, "left the roster";
     ROSTER = 1103, Info, "roster adopted";
     SUSPECTED = 1104, Warn, "member suspected";
-    RESTORED = 1105, Info, "member heard again";
+    RESTORED = 1105, Info, "member responds again";
     REMOVED = 1106, Warn, "member removed from the roster";
     ROSTER_WRITE = 1107, Warn, "roster write failed";
     UNLISTED = 1108, Warn, "removed from the fleet by others; joining again";
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -31,7 +31,7 @@
         cause: String,
     },
     /// The value is larger than the store accepts.
-    #[error("MU-3004: {key} is {size} bytes long, the store takes {limit}")]
+    #[error("MU-3004: {key} is {size} bytes long, the store accepts {limit}")]
     TooLarge {
         /// The object.
         key: ObjectKey,
