--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -1,9 +1,9 @@
 use indexmap::IndexSet;
 use usher_config::{Cache, Object};
-use usher_platform::{Listing, Object as PlatformObject, Watched};
+use usher_platform::{Listing, Object as PlatformObject, WatchAnswer};
 use usher_types::Version;
 
-use crate::{PlatformError, StoredObject};
+use crate::{StoreError, StoredObject};
 
 /// Objects changed after a version, in version order and including tombstones.
 #[derive(Debug)]
@@ -15,7 +15,7 @@
     /// Objects that could be decoded.
     pub objects: Vec<Object>,
     /// Errors of the objects that could not be decoded; the others are still returned.
-    pub unreadable: Vec<PlatformError>,
+    pub unreadable: Vec<StoreError>,
 }
 
 impl Batch {
@@ -34,11 +34,11 @@
     ///     unreadable: Vec::new(),
     /// };
     /// let mut cache = Cache::default();
-    /// assert_eq!(batch.adopt_into(&mut cache), 0);
+    /// assert_eq!(batch.apply_to(&mut cache), 0);
     /// assert_eq!(cache.complete(), Version::new(2));
     /// ```
-    pub fn adopt_into(self, cache: &mut Cache) -> usize {
-        cache.adopt_since(self.after, self.through, self.objects)
+    pub fn apply_to(self, cache: &mut Cache) -> usize {
+        cache.apply_since(self.after, self.through, self.objects)
     }
 
     /// Creates an empty batch of the changes since the first version.
@@ -60,15 +60,15 @@
     }
 
     /// Creates a batch with the last change of each object since a version.
-    pub(crate) fn changes(after: Version, watched: Watched) -> Self {
-        let mut batch = Self::empty(watched.at.max(after));
+    pub(crate) fn changes(after: Version, answer: WatchAnswer) -> Self {
+        let mut batch = Self::empty(answer.store_version.max(after));
         batch.after = after;
-        batch.report_ignored(watched.ignored);
+        batch.report_ignored(answer.ignored);
         let mut seen = IndexSet::new();
-        for (stored, removed) in watched.changes.into_iter().rev() {
+        for (stored, removed) in answer.changes.into_iter().rev() {
             if seen.insert(stored.name.clone()) {
                 // A removal carries only the object's last version; it happened at `through` or before.
-                batch.add_object(stored, removed.then_some(watched.at));
+                batch.add_object(stored, removed.then_some(answer.store_version));
             }
         }
         batch.objects.sort_by_key(|object| object.version);
@@ -89,7 +89,7 @@
     fn report_ignored(&mut self, count: usize) {
         if count > 0 {
             let text = format!("{count} entries are not objects");
-            self.unreadable.push(PlatformError::Unreadable(text));
+            self.unreadable.push(StoreError::Unreadable(text));
         }
     }
 }
--- a/crates/store/src/exchange.rs
+++ b/crates/store/src/exchange.rs
@@ -2,11 +2,11 @@
 use std::net::SocketAddrV4;
 
 use usher_config::ObjectKey;
-use usher_platform::{CallError, Client, Listing, Reply, Request, Watched};
+use usher_platform::{CallError, Client, Listing, Reply, Request, WatchAnswer};
 use usher_types::{Span, Version};
 
 use crate::stored_object::KIND;
-use crate::{Batch, PlatformError, StoredObject};
+use crate::{Batch, StoreError, StoredObject};
 
 pub(crate) const OK: u16 = 200;
 pub(crate) const CREATED: u16 = 201;
@@ -29,7 +29,7 @@
     /// The outcome is unknown: the store may have executed the request.
     NoAnswer(String),
     /// The store answered; a retry would get the same answer.
-    Final(PlatformError),
+    Final(StoreError),
 }
 
 impl Exchange {
@@ -59,7 +59,7 @@
         match reply.status {
             OK => Ok(Some(StoredObject::parse(&reply.body)?)),
             NOT_FOUND => Ok(None),
-            status => Err(PlatformError::Status(status).into()),
+            status => Err(StoreError::Status(status).into()),
         }
     }
 
@@ -72,11 +72,11 @@
         let reply = self.send(&request, wait).await?;
         match reply.status {
             OK => {
-                let watched = Watched::parse(&reply.body).map_err(unreadable)?;
-                Ok(Batch::changes(since, watched))
+                let answer = WatchAnswer::parse(&reply.body).map_err(unreadable)?;
+                Ok(Batch::changes(since, answer))
             }
             GONE => self.list().await,
-            status => Err(PlatformError::Status(status).into()),
+            status => Err(StoreError::Status(status).into()),
         }
     }
 
@@ -88,12 +88,14 @@
             let request = Request::list(KIND, after.as_deref(), false);
             let reply = self.send(&request, Span::ZERO).await?;
             if reply.status != OK {
-                return Err(PlatformError::Status(reply.status).into());
+                return Err(StoreError::Status(reply.status).into());
             }
             let page = Listing::parse(&reply.body).map_err(unreadable)?;
             let more = page.more;
             after = page.objects.last().map(|object| object.name.clone());
-            batch.get_or_insert_with(|| Batch::empty(page.at)).add(page);
+            batch
+                .get_or_insert_with(|| Batch::empty(page.store_version))
+                .add(page);
             if !more || after.is_none() {
                 break;
             }
@@ -104,12 +106,12 @@
     }
 }
 
-impl From<PlatformError> for Failure {
-    fn from(error: PlatformError) -> Self {
+impl From<StoreError> for Failure {
+    fn from(error: StoreError) -> Self {
         Self::Final(error)
     }
 }
 
 fn unreadable(error: impl Display) -> Failure {
-    Failure::Final(PlatformError::Unreadable(error.to_string()))
+    Failure::Final(StoreError::Unreadable(error.to_string()))
 }
