--- a/crates/agent/src/agent_state.rs
+++ b/crates/agent/src/agent_state.rs
@@ -5,7 +5,7 @@
 
 use usher_admission::{self as admission, Scheduler};
 use usher_dedupe::{
-    Agent, Claimant, ClaimantEvent, Ledger, LedgerEvent, Lineage, Origin, PACKET_LIFETIME,
+    Agent, Claimant, ClaimantEvent, Ledger, LedgerEvent, Origin, PACKET_LIFETIME, RosterHistory,
 };
 use usher_flows::{self as flows, FlowTable};
 use usher_types::{
@@ -107,7 +107,7 @@
             weight: machines.scheduler.weight(),
             records: machines.ledger.len(),
             unsettled: machines.ledger.unsettled(now),
-            awaiting: machines.ledger.awaiting(),
+            unacknowledged: machines.ledger.unacknowledged(),
         })
     }
 
@@ -190,7 +190,7 @@
         self.view = Some(view);
         self.on_flow_event(flows::Event::Roster(Arc::clone(&roster)));
         self.on_claimant_event(ClaimantEvent::Roster(Arc::clone(&roster)));
-        self.on_ledger_event(LedgerEvent::Roster(lineage(&roster)));
+        self.on_ledger_event(LedgerEvent::Roster(roster_history(&roster)));
         self.report_adoption();
         self.out.push(Action::InForce(revision));
     }
@@ -322,15 +322,15 @@
     }
 }
 
-fn lineage(roster: &Arc<Roster>) -> Lineage {
+fn roster_history(roster: &Arc<Roster>) -> RosterHistory {
     let earlier = roster
         .earlier
         .iter()
         .map(PastRoster::to_roster)
         .map(Arc::new)
         .collect();
-    // The lineage is complete: every writer of a roster keeps the earlier ones that are not settled.
-    Lineage {
+    // The history is complete: every writer of a roster keeps the earlier ones that are not settled.
+    RosterHistory {
         roster: Arc::clone(roster),
         earlier,
         complete: true,
--- a/crates/agent/src/request_actions.rs
+++ b/crates/agent/src/request_actions.rs
@@ -26,7 +26,7 @@
                 if let Some(machines) = &mut self.machines {
                     machines.claims.insert(key, id);
                 }
-                self.on_claimant_event(ClaimantEvent::Ask {
+                self.on_claimant_event(ClaimantEvent::Acquire {
                     key,
                     attempt,
                     age,
--- a/crates/agent/src/summary.rs
+++ b/crates/agent/src/summary.rs
@@ -14,5 +14,5 @@
     /// Earlier rosters that may have an active owner.
     pub unsettled: Vec<Version>,
     /// Hosts that have not yet taken over the records handed to them.
-    pub awaiting: Vec<HostId>,
+    pub unacknowledged: Vec<HostId>,
 }
--- a/crates/capacity/src/sweeps/records.rs
+++ b/crates/capacity/src/sweeps/records.rs
@@ -1,7 +1,7 @@
 use std::io;
 use std::sync::Arc;
 
-use usher_dedupe::{Agent, Ledger, LedgerEvent, Lineage, Origin};
+use usher_dedupe::{Agent, Ledger, LedgerEvent, Origin, RosterHistory};
 use usher_types::{Complete, Outcome, Payload, Roster};
 
 use super::service::claim;
@@ -21,12 +21,12 @@
         incarnation: roster.members[0].incarnation,
     };
     let mut ledger = Ledger::new(agent, Origin::Created);
-    let lineage = Lineage {
+    let history = RosterHistory {
         roster: Arc::new(roster),
         earlier: Vec::new(),
         complete: true,
     };
-    ledger.handle(now, LedgerEvent::Roster(lineage));
+    ledger.handle(now, LedgerEvent::Roster(history));
     let (nanos, bytes) = meter::memory_growth(|| {
         let ((), claim_nanos) = meter::time_once(|| {
             for key in 0..records {
--- a/crates/capacity/src/sweeps/service.rs
+++ b/crates/capacity/src/sweeps/service.rs
@@ -4,7 +4,7 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 use usher_config::{Kind, Value};
-use usher_dedupe::{Agent, Ledger, LedgerEvent, Lineage, Origin};
+use usher_dedupe::{Agent, Ledger, LedgerEvent, Origin, RosterHistory};
 use usher_members::{Event, Identity, Membership};
 use usher_routing::{HintTable, Router, Table};
 use usher_types::{
@@ -141,7 +141,7 @@
     };
     let mut ledger = Ledger::new(agent, Origin::Created);
     let now = sample::START;
-    let lineage = Lineage {
+    let history = RosterHistory {
         roster: Arc::new(Roster {
             earlier: Vec::new(),
             ..roster.clone()
@@ -149,7 +149,7 @@
         earlier: Vec::new(),
         complete: true,
     };
-    ledger.handle(now, LedgerEvent::Roster(lineage));
+    ledger.handle(now, LedgerEvent::Roster(history));
     let mut number = 0;
     let renewal_nanos = meter::time_each(BEATS, |_| {
         number = number % (hosts - 1) + 1;
--- a/crates/dedupe/src/claimant.rs
+++ b/crates/dedupe/src/claimant.rs
@@ -65,7 +65,7 @@
     /// let mut claimant = Claimant::new(agent, "127.0.0.1:7000".parse().unwrap());
     /// let key = RequestKey::new(1);
     /// let deadline = Time::ZERO;
-    /// let request = ClaimantEvent::Ask { key, attempt: Attempt::new(1), age: Span::ZERO, deadline };
+    /// let request = ClaimantEvent::Acquire { key, attempt: Attempt::new(1), age: Span::ZERO, deadline };
     /// let actions = claimant.handle(Time::ZERO, request);
     /// assert_eq!(actions, [ClaimantAction::Denied { key }]);
     /// # Ok::<(), usher_types::ParseError>(())
@@ -74,7 +74,7 @@
         let mut actions = Vec::new();
         let stalled = self.stall.observe(now);
         match event {
-            ClaimantEvent::Ask {
+            ClaimantEvent::Acquire {
                 key,
                 attempt,
                 age,
--- a/crates/dedupe/src/event.rs
+++ b/crates/dedupe/src/event.rs
@@ -9,7 +9,7 @@
 
 /// A newly adopted roster with the earlier ones whose owners may still grant keys.
 #[derive(Debug, Clone)]
-pub struct Lineage {
+pub struct RosterHistory {
     /// The adopted roster.
     pub roster: Arc<Roster>,
     /// The known earlier rosters, in any order.
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone)]
 pub enum LedgerEvent {
     /// A roster was adopted; lower versions are ignored.
-    Roster(Lineage),
+    Roster(RosterHistory),
     /// A holder asks for a grant.
     Claim(Claim),
     /// A holder reports an outcome.
@@ -58,7 +58,7 @@
 #[derive(Debug, Clone)]
 pub enum ClaimantEvent {
     /// A request needs a grant.
-    Ask {
+    Acquire {
         /// Key of the request.
         key: RequestKey,
         /// Transmission number of the request.
--- a/crates/dedupe/src/history.rs
+++ b/crates/dedupe/src/history.rs
@@ -3,11 +3,11 @@
 use indexmap::IndexMap;
 use usher_types::{HostId, PastRoster, RequestKey, Roster, Span, Time, Version};
 
-use crate::event::Lineage;
+use crate::event::RosterHistory;
 use crate::limits::{LEASE, STOPPED_RETENTION, lower_bound, upper_bound};
 use crate::origin::Origin;
 use crate::ownership::{Agent, activation_quorum, is_member, owner_of};
-use crate::transfer::{Cover, Transfer};
+use crate::transfer::{Coverage, Transfer};
 
 /// Whether owners of a key under earlier rosters can still grant it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,7 +39,7 @@
     // All unsettled rosters are in `earlier`.
     complete: bool,
     adopted: IndexMap<HostId, Version>,
-    covers: Vec<Cover>,
+    coverage: Vec<Coverage>,
 }
 
 impl History {
@@ -53,7 +53,7 @@
             older_stopped: None,
             complete: false,
             adopted: IndexMap::new(),
-            covers: Vec::new(),
+            coverage: Vec::new(),
         }
     }
 
@@ -68,8 +68,8 @@
     }
 
     /// Adopts a roster and its predecessors; returns whether the roster is newer than the current one.
-    pub(crate) fn adopt(&mut self, now: Time, lineage: Lineage) -> bool {
-        let version = lineage.roster.version;
+    pub(crate) fn adopt(&mut self, now: Time, roster_history: RosterHistory) -> bool {
+        let version = roster_history.roster.version;
         if self.current.is_some() && version < self.version() {
             return false;
         }
@@ -77,11 +77,11 @@
             .current
             .as_ref()
             .is_none_or(|roster| roster.version < version);
-        self.update_complete(now, newly, &lineage);
-        if newly && let Some(previous) = self.current.replace(lineage.roster) {
+        self.update_complete(now, newly, &roster_history);
+        if newly && let Some(previous) = self.current.replace(roster_history.roster) {
             self.insert_earlier(previous);
         }
-        for roster in lineage.earlier {
+        for roster in roster_history.earlier {
             self.insert_earlier(roster);
         }
         self.mark_stopped(now);
@@ -110,9 +110,9 @@
         if transfer.roster > self.version() {
             return false;
         }
-        for cover in &transfer.covers {
-            if cover.roster > self.pruned {
-                self.add_cover(cover);
+        for entry in &transfer.coverage {
+            if entry.roster > self.pruned {
+                self.add_coverage(entry);
             }
         }
         // A pruned roster is not inserted again. Only `older_stopped` accounts for it, so
@@ -135,43 +135,44 @@
         let own = self
             .own_rosters()
             .filter(|roster| self.may_have_moved(roster, &to));
-        let own = own.map(|roster| Cover {
+        let own = own.map(|roster| Coverage {
             roster: roster.version,
             owner: self.agent.clone(),
             path: vec![step.clone()],
         });
-        let passed = self.covers.iter().filter(|cover| {
-            let received = cover.path.last().and_then(|last| self.roster(last.0));
+        let passed = self.coverage.iter().filter(|entry| {
+            let received = entry.path.last().and_then(|last| self.roster(last.0));
             received.is_none_or(|roster| self.may_have_moved(roster, &to))
         });
-        let passed = passed.cloned().map(|mut cover| {
-            cover.path.push(step.clone());
-            cover
+        let passed = passed.cloned().map(|mut entry| {
+            entry.path.push(step.clone());
+            entry
         });
-        let covers = own.chain(passed).collect();
+        let coverage = own.chain(passed).collect();
         Transfer {
             from: self.agent.clone(),
             to,
             roster: self.version(),
-            covers,
+            coverage,
             rosters: self.earlier.iter().map(|e| past(&e.roster)).collect(),
             since: self.older_stop_age(now),
             records: Vec::new(),
         }
     }
 
-    // Drops a cover whose conditions include all those of another one. Otherwise every roster change
-    // multiplies the covers by the number of members, and a rolling restart of 7 hosts does not end.
-    fn add_cover(&mut self, cover: &Cover) {
-        let is_same = |other: &Cover| other.roster == cover.roster && other.owner == cover.owner;
-        let implies = |few: &Cover, many: &Cover| few.path.iter().all(|s| many.path.contains(s));
-        let mut known = self.covers.iter().filter(|other| is_same(other));
-        if known.any(|other| implies(other, cover)) {
+    // Drops a coverage entry whose conditions include all those of another one. Otherwise every roster change
+    // multiplies the entries by the number of members, and a rolling restart of 7 hosts does not end.
+    fn add_coverage(&mut self, entry: &Coverage) {
+        let is_same = |other: &Coverage| other.roster == entry.roster && other.owner == entry.owner;
+        let implies =
+            |few: &Coverage, many: &Coverage| few.path.iter().all(|s| many.path.contains(s));
+        let mut known = self.coverage.iter().filter(|other| is_same(other));
+        if known.any(|other| implies(other, entry)) {
             return;
         }
-        self.covers
-            .retain(|other| !is_same(other) || !implies(cover, other));
-        self.covers.push(cover.clone());
+        self.coverage
+            .retain(|other| !is_same(other) || !implies(entry, other));
+        self.coverage.push(entry.clone());
     }
 
     /// Whether keys may have moved from this agent to another member since an earlier roster.
@@ -227,19 +228,23 @@
             }
         }
         let pruned = self.pruned;
-        self.covers.retain(|cover| cover.roster > pruned);
+        self.coverage.retain(|entry| entry.roster > pruned);
     }
 
-    // A process that skipped rosters knows only that those missing from a complete lineage have
+    // A process that skipped rosters knows only that those missing from a complete roster history have
     // stopped by now, not when. A transfer from a member that saw them supplies the earlier time.
-    fn update_complete(&mut self, now: Time, newly: bool, lineage: &Lineage) {
-        let newest = lineage.earlier.iter().map(|roster| roster.version).max();
+    fn update_complete(&mut self, now: Time, newly: bool, roster_history: &RosterHistory) {
+        let newest = roster_history
+            .earlier
+            .iter()
+            .map(|roster| roster.version)
+            .max();
         let linked = match &self.current {
             None => newest.is_none() && self.origin == Origin::Created,
             Some(current) if newly => self.complete && newest == Some(current.version),
             Some(_) => self.complete,
         };
-        let complete = linked || (lineage.complete && newest.is_some());
+        let complete = linked || (roster_history.complete && newest.is_some());
         if complete && !linked {
             self.older_stopped = self.older_stopped.max(Some(now));
         }
@@ -279,8 +284,8 @@
             let roster = self.roster(*version);
             roster.is_some_and(|r| owner_of(r, key).as_ref() == Some(agent))
         };
-        let mut covers = self.covers.iter();
-        covers.any(|c| c.roster == version && c.owner == *owner && c.path.iter().all(passed))
+        let mut coverage = self.coverage.iter();
+        coverage.any(|c| c.roster == version && c.owner == *owner && c.path.iter().all(passed))
     }
 
     fn older_stop_age(&self, now: Time) -> Option<Span> {
--- a/crates/dedupe/src/ledger.rs
+++ b/crates/dedupe/src/ledger.rs
@@ -8,7 +8,7 @@
 
 use crate::action::{Counter, LedgerAction};
 use crate::eligibility::Eligibility;
-use crate::event::{LedgerEvent, Lineage};
+use crate::event::{LedgerEvent, RosterHistory};
 use crate::handover::Handovers;
 use crate::history::History;
 use crate::lease::{Lease, Renewal};
@@ -72,7 +72,7 @@
     pub fn handle(&mut self, now: Time, event: LedgerEvent) -> Vec<LedgerAction> {
         let mut actions = self.advance(now);
         match event {
-            LedgerEvent::Roster(lineage) => self.adopt(now, lineage),
+            LedgerEvent::Roster(roster_history) => self.adopt(now, roster_history),
             LedgerEvent::Claim(claim) => actions.extend(self.claim(now, &claim)),
             LedgerEvent::Complete(complete) => actions.extend(self.complete(now, complete)),
             LedgerEvent::Ack(ack) => {
@@ -132,10 +132,10 @@
     /// ```
     /// use usher_dedupe::{Agent, Ledger, Origin};
     /// let agent = Agent { host: "a".parse()?, incarnation: Default::default() };
-    /// assert!(Ledger::new(agent, Origin::Joined).awaiting().is_empty());
+    /// assert!(Ledger::new(agent, Origin::Joined).unacknowledged().is_empty());
     /// # Ok::<(), usher_types::ParseError>(())
     /// ```
-    pub fn awaiting(&self) -> Vec<HostId> {
+    pub fn unacknowledged(&self) -> Vec<HostId> {
         self.handovers.hosts().cloned().collect()
     }
 
@@ -170,9 +170,9 @@
         vec![LedgerAction::Count(Counter::Abandoned); abandoned]
     }
 
-    fn adopt(&mut self, now: Time, lineage: Lineage) {
-        let roster = Arc::clone(&lineage.roster);
-        if !self.history.adopt(now, lineage) {
+    fn adopt(&mut self, now: Time, roster_history: RosterHistory) {
+        let roster = Arc::clone(&roster_history.roster);
+        if !self.history.adopt(now, roster_history) {
             return;
         }
         let lease = Lease::new(self.agent.clone(), Arc::clone(&roster), now);
--- a/crates/dedupe/src/lib.rs
+++ b/crates/dedupe/src/lib.rs
@@ -48,11 +48,11 @@
 
 pub use action::{ClaimantAction, Counter, LedgerAction};
 pub use claimant::Claimant;
-pub use event::{ClaimantEvent, LedgerEvent, Lineage};
+pub use event::{ClaimantEvent, LedgerEvent, RosterHistory};
 pub use lease::{Held, Lapsed, Lease, Renewal};
 pub use ledger::Ledger;
 pub use limits::{LEASE, PACKET_LIFETIME, RETENTION, RUN_LIMIT};
 pub use origin::Origin;
 pub use ownership::{Agent, owner_of};
 pub use record::{Record, State};
-pub use transfer::{Cover, Transfer};
+pub use transfer::{Coverage, Transfer};
--- a/crates/dedupe/src/transfer.rs
+++ b/crates/dedupe/src/transfer.rs
@@ -7,7 +7,7 @@
 ///
 /// It applies to the keys that the owner and then every agent of the path owned in turn.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Cover {
+pub struct Coverage {
     /// Roster under which the owner granted.
     pub roster: Version,
     /// The owner whose records are included.
@@ -26,7 +26,7 @@
     /// Roster that the sender has adopted and that makes the receiver the owner.
     pub roster: Version,
     /// Earlier owners whose records are complete in this transfer.
-    pub covers: Vec<Cover>,
+    pub coverage: Vec<Coverage>,
     /// Earlier rosters that the sender still keeps; the receiver may have skipped some.
     pub rosters: Vec<PastRoster>,
     /// Time since all rosters older than those had stopped; `None` when there were none.
--- a/crates/dedupe/tests/dedupe/claimant.rs
+++ b/crates/dedupe/tests/dedupe/claimant.rs
@@ -46,7 +46,7 @@
         Step::Roster { version, owner } => {
             ClaimantEvent::Roster(roster(*version, &[format!("{owner}#1")]))
         }
-        Step::Ask { age, deadline } => ClaimantEvent::Ask {
+        Step::Ask { age, deadline } => ClaimantEvent::Acquire {
             key,
             attempt: Attempt::new(1),
             age: *age,
--- a/crates/dedupe/tests/dedupe/ledger.rs
+++ b/crates/dedupe/tests/dedupe/ledger.rs
@@ -5,7 +5,8 @@
 
 use serde::Deserialize;
 use usher_dedupe::{
-    Cover, Ledger, LedgerAction, LedgerEvent, Lineage, Origin, Record, State, Transfer, owner_of,
+    Coverage, Ledger, LedgerAction, LedgerEvent, Origin, Record, RosterHistory, State, Transfer,
+    owner_of,
 };
 use usher_types::{
     Attempt, BeatAck, Claim, Complete, Decision, HostId, Outcome, PastRoster, Peer, RequestKey,
@@ -121,7 +122,7 @@
                 version,
                 earlier,
                 complete,
-            } => LedgerEvent::Roster(Lineage {
+            } => LedgerEvent::Roster(RosterHistory {
                 roster: self.roster(*version),
                 earlier: earlier
                     .iter()
@@ -177,7 +178,7 @@
             } => {
                 let to = agent("h0#1");
                 let version = Version::new(*roster);
-                let cover = |(roster, owner): &(u64, String)| Cover {
+                let cover = |(roster, owner): &(u64, String)| Coverage {
                     roster: Version::new(*roster),
                     owner: agent(owner),
                     path: vec![(version, to.clone())],
@@ -196,7 +197,7 @@
                     from: agent(from),
                     to: to.clone(),
                     roster: version,
-                    covers: covers.iter().map(cover).collect(),
+                    coverage: covers.iter().map(cover).collect(),
                     rosters: rosters.iter().map(|past| self.past(*past)).collect(),
                     since: *since,
                     records: record.into_iter().collect(),
--- a/crates/dedupe/tests/dedupe/simulation.rs
+++ b/crates/dedupe/tests/dedupe/simulation.rs
@@ -3,7 +3,9 @@
 
 use proptest::prelude::Rng;
 use proptest::test_runner::{RngAlgorithm, TestRng};
-use usher_dedupe::{ClaimantAction, ClaimantEvent, LedgerAction, LedgerEvent, Lineage, Origin};
+use usher_dedupe::{
+    ClaimantAction, ClaimantEvent, LedgerAction, LedgerEvent, Origin, RosterHistory,
+};
 use usher_types::{Attempt, BeatAck, Outcome, Peer, RequestKey, Roster, Span, Time, Version};
 
 use crate::fixture::{host_id, index, index_of, member, outcome};
@@ -57,7 +59,7 @@
     tasks: BTreeMap<(u64, u64), (usize, Task)>,
     hosts: Vec<Option<Process>>,
     incarnations: Vec<u64>,
-    store: Option<Lineage>,
+    store: Option<RosterHistory>,
     pub results: Results,
 }
 
@@ -158,10 +160,10 @@
     fn write(&mut self, host: usize, present: bool) {
         let mut roster = Roster::default();
         let mut earlier = Vec::new();
-        if let Some(lineage) = self.store.take() {
-            roster = (*lineage.roster).clone();
-            earlier = self.prune(&lineage);
-            earlier.insert(0, lineage.roster);
+        if let Some(history) = self.store.take() {
+            roster = (*history.roster).clone();
+            earlier = self.prune(&history);
+            earlier.insert(0, history.roster);
         }
         match &self.hosts[host] {
             Some(process) if present => {
@@ -173,7 +175,7 @@
             }
         }
         roster.version = Version::new(roster.version.get() + 3);
-        self.store = Some(Lineage {
+        self.store = Some(RosterHistory {
             roster: Arc::new(roster),
             earlier,
             complete: true,
@@ -182,13 +184,13 @@
     }
 
     // A writer that has adopted the replaced roster drops those before it that have stopped.
-    fn prune(&self, lineage: &Lineage) -> Vec<Arc<Roster>> {
-        let version = lineage.roster.version;
+    fn prune(&self, history: &RosterHistory) -> Vec<Arc<Roster>> {
+        let version = history.roster.version;
         let mut live = self.hosts.iter().flatten();
         let writer = live.find(|p| p.resume_at <= self.now && p.version() == version);
         let unsettled = writer.map(|p| p.ledger.unsettled(p.clock(self.now)));
         let kept = |r: &&Arc<Roster>| unsettled.as_ref().is_none_or(|u| u.contains(&r.version));
-        lineage.earlier.iter().filter(kept).cloned().collect()
+        history.earlier.iter().filter(kept).cloned().collect()
     }
 
     // A group of hosts may learn of a roster long after the others, or skip it.
@@ -220,13 +222,13 @@
             }
             Task::Request(key, attempt, age) => {
                 let deadline = clock + Span::from_secs(8);
-                let ask = ClaimantEvent::Ask {
+                let acquire = ClaimantEvent::Acquire {
                     key,
                     attempt,
                     age,
                     deadline,
                 };
-                self.claimant(host, ask);
+                self.claimant(host, acquire);
             }
             Task::ReceiveBeat(from, roster, sent) => {
                 if let Some(ack) = process.acknowledge(sent) {
@@ -263,10 +265,10 @@
                 self.schedule(self.now + SEC, host, Task::Beat);
             }
             Task::AdoptRoster => {
-                if let Some(lineage) = self.store.clone() {
-                    let roster = Arc::clone(&lineage.roster);
+                if let Some(history) = self.store.clone() {
+                    let roster = Arc::clone(&history.roster);
                     process.roster = Some(Arc::clone(&roster));
-                    self.ledger(host, LedgerEvent::Roster(lineage));
+                    self.ledger(host, LedgerEvent::Roster(history));
                     self.claimant(host, ClaimantEvent::Roster(roster));
                 }
             }
--- a/crates/runtime/src/agent/worker.rs
+++ b/crates/runtime/src/agent/worker.rs
@@ -361,7 +361,7 @@
             "wait": summary.wait,
             "weight": summary.weight,
             "records": summary.records,
-            "awaiting": summary.awaiting,
+            "awaiting": summary.unacknowledged,
             "requests": self.ids.len(),
             "burn": self.burn.windows(now()),
             "counters": self.counts.totals(),
