--- a/crates/flows/src/settings.rs
+++ b/crates/flows/src/settings.rs
@@ -20,7 +20,7 @@
     /// UDP address of this agent.
     pub agent: SocketAddrV4,
     /// Queue wait above which new flows are hunted: forwarded to the second candidate.
-    pub hunt: Span,
+    pub hunt_threshold: Span,
     /// Time without traffic after which a flow expires.
     pub idle: Span,
     /// Time after all members adopt a roster before unknown flows are reset.
@@ -50,7 +50,7 @@
         buckets: Buckets,
         host: HostId,
         agent: SocketAddrV4,
-        hunt: Span,
+        hunt_threshold: Span,
     ) -> Self {
         Self {
             service,
@@ -58,7 +58,7 @@
             buckets,
             host,
             agent,
-            hunt,
+            hunt_threshold,
             idle: DEFAULT_IDLE,
             settle: DEFAULT_SETTLE,
         }
--- a/crates/flows/src/table/receive.rs
+++ b/crates/flows/src/table/receive.rs
@@ -218,7 +218,7 @@
     }
 
     fn should_hunt(&self, relay: &Relay) -> bool {
-        let busy = self.wait > self.settings.hunt && self.next_candidate(relay).is_some();
+        let busy = self.wait > self.settings.hunt_threshold && self.next_candidate(relay).is_some();
         self.draining || busy
     }
 
