--- a/crates/admission/src/arrival.rs
+++ b/crates/admission/src/arrival.rs
@@ -1,6 +1,6 @@
 //! Admission of new requests: duplicates, classification, queueing and shedding.
 
-use usher_types::{Attempt, ClassRule, Refusal, Request, RequestId, Span, Time};
+use usher_types::{Attempt, MethodRule, Refusal, Request, RequestId, Span, Time};
 
 use crate::class::Class;
 use crate::entry::Entry;
@@ -76,7 +76,7 @@
     pub(crate) fn task(&mut self, now: Time, mut request: Request, recipient: Recipient) -> Task {
         let rule = self.profile.methods.get(&request.method);
         let long = rule.is_some_and(|rule| rule.long);
-        request.priority = rule.map_or(request.priority, |rule: &ClassRule| rule.priority);
+        request.priority = rule.map_or(request.priority, |rule: &MethodRule| rule.priority);
         let cost = self.cost(&request.method, long);
         let class = if self.policy.classes && (long || cost > self.profile.short_bound) {
             Class::Long
--- a/crates/admission/src/job.rs
+++ b/crates/admission/src/job.rs
@@ -110,7 +110,7 @@
 impl Job<Claimed> {
     pub(crate) fn dispatch(mut self, now: Time, check: Option<Time>) -> Job<Dispatched> {
         let budget = &mut self.task.request.budget;
-        *budget = usher_types::Budget::new(budget.get().saturating_sub(1));
+        *budget = usher_types::AttemptBudget::new(budget.get().saturating_sub(1));
         let state = Dispatched {
             start_by: self.state.start_by,
             started: now,
--- a/crates/admission/tests/admission/text.rs
+++ b/crates/admission/tests/admission/text.rs
@@ -4,7 +4,7 @@
 
 use usher_admission::{Action, Event};
 use usher_types::{
-    Attempt, Budget, Offer, OfferDone, OfferOutcome, OfferReply, Outcome, Payload, Priority,
+    Attempt, AttemptBudget, Offer, OfferDone, OfferOutcome, OfferReply, Outcome, Payload, Priority,
     Request, RequestKey, Slots, Span, Time,
 };
 
@@ -56,7 +56,7 @@
             deadline: at(self.field("deadline", 1_000)),
             attempt: Attempt::new(self.field("attempt", 1) as u16),
             age: Span::ZERO,
-            budget: Budget::new(self.field("budget", 3) as u8),
+            budget: AttemptBudget::new(self.field("budget", 3) as u8),
             priority: Priority::new(self.field("priority", 100) as u8),
             body: Payload::default(),
         }
--- a/crates/admission/tests/admission/world/environment.rs
+++ b/crates/admission/tests/admission/world/environment.rs
@@ -2,7 +2,7 @@
 
 use usher_admission::Event;
 use usher_types::{
-    Attempt, Budget, Offer, OfferOutcome, OfferReply, Outcome, Payload, Priority, Request,
+    Attempt, AttemptBudget, Offer, OfferOutcome, OfferReply, Outcome, Payload, Priority, Request,
     RequestId, RequestKey, Span,
 };
 
@@ -30,7 +30,7 @@
             deadline: self.now + Span::from_millis(left),
             attempt: Attempt::new(1),
             age: Span::ZERO,
-            budget: Budget::new(3),
+            budget: AttemptBudget::new(3),
             priority: Priority::new(1),
             body: Payload::default(),
         }
--- a/crates/admission/tests/admission/world/mod.rs
+++ b/crates/admission/tests/admission/world/mod.rs
@@ -8,7 +8,7 @@
 
 use usher_admission::{Event, Policy, Scheduler};
 use usher_types::{
-    Attempt, ClassRule, Offer, OfferDone, Outcome, Priority, Profile, Request, RequestId,
+    Attempt, MethodRule, Offer, OfferDone, Outcome, Priority, Profile, Request, RequestId,
     RequestKey, Slots, Span, Time,
 };
 
@@ -119,9 +119,9 @@
     pub fn new(policy: Policy) -> Self {
         let mut profile = Profile::default();
         let long = true;
-        let rule = ClassRule {
+        let rule = MethodRule {
             long,
-            ..ClassRule::default()
+            ..MethodRule::default()
         };
         profile.methods.insert("map".to_owned(), rule);
         let own_address = peer(common::OWN_PORT);
--- a/crates/bench/src/subject/agents.rs
+++ b/crates/bench/src/subject/agents.rs
@@ -8,7 +8,7 @@
 use usher_agent::{Action, Event};
 use usher_routing::{HintTable, Router};
 use usher_types::{
-    ClassRule, Hint, Incarnation, Message, MessageId, Packet, Profile, RequestId, Roster, Share,
+    Hint, Incarnation, Message, MessageId, MethodRule, Packet, Profile, RequestId, Roster, Share,
     Span, Time,
 };
 
@@ -337,7 +337,7 @@
 
     pub(super) fn profile(&self) -> Profile {
         let rule = |work: &crate::model::Work| {
-            let rule = ClassRule {
+            let rule = MethodRule {
                 long: work.long,
                 priority: work.priority,
             };
--- a/crates/bench/src/subject/agents_callers.rs
+++ b/crates/bench/src/subject/agents_callers.rs
@@ -3,7 +3,7 @@
 use usher_agent::Event;
 use usher_flows::Outbox;
 use usher_types::{
-    Attempt, Body, Budget, FlowId, MessageId, Outcome, Packet, Payload, Request, RequestId,
+    Attempt, AttemptBudget, Body, FlowId, MessageId, Outcome, Packet, Payload, Request, RequestId,
     RequestKey, Sequence, Span, Time,
 };
 
@@ -161,7 +161,7 @@
             deadline: now + work.deadline,
             attempt: Attempt::new(sends),
             age: now - self.workload.arrivals[arrival].at,
-            budget: Budget::new(if shared {
+            budget: AttemptBudget::new(if shared {
                 ATTEMPTS.saturating_sub(sends as u8 - 1)
             } else {
                 ATTEMPTS
--- a/crates/capacity/src/sweeps/payload.rs
+++ b/crates/capacity/src/sweeps/payload.rs
@@ -1,9 +1,9 @@
 use std::io;
 
 use usher_types::{
-    AgentMessage, Attempt, Body, Budget, Decision, Generation, Hint, Message, MessageId, Offer,
-    Outcome, Packet, Payload, Priority, Register, Relay, RelayMode, RequestId, RequestKey, Segment,
-    Span, Verdict, Version,
+    AgentMessage, Attempt, AttemptBudget, Body, Decision, Generation, Hint, Message, MessageId,
+    Offer, Outcome, Packet, Payload, Priority, Register, Relay, RelayMode, RequestId, RequestKey,
+    Segment, Span, Verdict, Version,
 };
 use usher_wire::{decode_message, decode_packet, encode_message, encode_packet};
 
@@ -119,7 +119,7 @@
         left: Span::from_secs(2),
         attempt: Attempt::new(1),
         age: Span::from_millis(4),
-        budget: Budget::new(3),
+        budget: AttemptBudget::new(3),
         priority: Priority::new(200),
         body,
         wait: Span::from_millis(20),
--- a/crates/cli/tests/cli/pages.rs
+++ b/crates/cli/tests/cli/pages.rs
@@ -6,7 +6,7 @@
 
 use serde_json::{Value as Json, json};
 use usher_cli::{ExitStatus, run};
-use usher_types::{ClassRule, Profile};
+use usher_types::{MethodRule, Profile};
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
@@ -39,7 +39,7 @@
     let (_, profiles) = page.split_once("## Profiles").unwrap();
     let (profile, rule) = profiles.split_once("Keys of a rule").unwrap();
     assert_eq!(rows(profile), fields(&json!(Profile::default())));
-    assert_eq!(rows(rule), fields(&json!(ClassRule::default())));
+    assert_eq!(rows(rule), fields(&json!(MethodRule::default())));
 }
 
 // Guards against examples that the tool does not accept.
--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -2,7 +2,7 @@
 
 use indexmap::IndexMap;
 use serde::Serialize;
-use usher_types::{Balancer, ClassRule, Fleet, Member, Profile, Roster, Service};
+use usher_types::{Balancer, Fleet, Member, MethodRule, Profile, Roster, Service};
 
 use crate::{LeaseRecord, Value};
 
@@ -112,7 +112,7 @@
         self.add("attempts", attempts);
         self.add("retries", retries);
         self.add("objective", objective);
-        for (method, ClassRule { long, priority }) in methods {
+        for (method, MethodRule { long, priority }) in methods {
             self.add(format!("methods.{method}.long"), long);
             self.add(format!("methods.{method}.priority"), priority);
         }
--- a/crates/daemon/tests/processes/isolation.rs
+++ b/crates/daemon/tests/processes/isolation.rs
@@ -4,8 +4,8 @@
 use usher_standins::Request;
 use usher_types::{AgentMessage, Message};
 use usher_types::{
-    Attempt, Budget, Claim, Generation, HostId, Incarnation, Offer, Payload, Priority, RequestId,
-    Span, Time, Version,
+    Attempt, AttemptBudget, Claim, Generation, HostId, Incarnation, Offer, Payload, Priority,
+    RequestId, Span, Time, Version,
 };
 use usher_wire::encode_message;
 
@@ -29,7 +29,7 @@
         left: Span::from_secs(5),
         attempt: Attempt::new(1),
         age: Span::ZERO,
-        budget: Budget::new(3),
+        budget: AttemptBudget::new(3),
         priority: Priority::new(100),
         body: Payload::from(b"{}".as_slice()),
         wait: Span::from_secs(4),
--- a/crates/standins/src/caller/request.rs
+++ b/crates/standins/src/caller/request.rs
@@ -1,5 +1,5 @@
 use serde_json::{Value, json};
-use usher_types::{Attempt, Budget, Payload, RequestKey, Span};
+use usher_types::{Attempt, AttemptBudget, Payload, RequestKey, Span};
 use usher_wire::{Meta, RequestMessage};
 
 /// A single request; [`Request::new`] gives a repeatable first attempt.
@@ -18,7 +18,7 @@
     /// Time since the first attempt.
     pub age: Span,
     /// Attempts left across all layers.
-    pub budget: Option<Budget>,
+    pub budget: Option<AttemptBudget>,
     /// Service time; the backend server draws it when absent.
     pub time: Option<Span>,
     /// Characters in the answer's text; the backend server's default when absent.
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -36,14 +36,14 @@
 pub use message::Message;
 pub use name::{DataCentre, HostId, InstanceId, ProfileName, ServiceName};
 pub use number::{
-    Attempt, Bucket, Buckets, Budget, ByteCount, Generation, Incarnation, MessageId, Priority,
-    Sequence, Slots, Version, Weight,
+    Attempt, AttemptBudget, Bucket, Buckets, ByteCount, Generation, Incarnation, MessageId,
+    Priority, Sequence, Slots, Version, Weight,
 };
 pub use offer::{Offer, OfferDone, OfferOutcome, OfferReply};
 pub use outcome::{Outcome, Refusal};
 pub use packet::{Body, Packet, Segment};
 pub use payload::Payload;
-pub use profile::{ClassRule, Profile};
+pub use profile::{MethodRule, Profile};
 pub use ratio::{Rate, Share};
 pub use register::{Hint, Register, Registered};
 pub use relay::{Relay, RelayMode};
--- a/crates/types/src/number.rs
+++ b/crates/types/src/number.rs
@@ -88,7 +88,7 @@
 );
 number!(
     /// Attempts left for one request across all layers.
-    Budget(u8),
+    AttemptBudget(u8),
     "budget"
 );
 number!(
--- a/crates/types/src/offer.rs
+++ b/crates/types/src/offer.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Attempt, Budget, Outcome, Payload, Priority, RequestId, RequestKey, Span};
+use crate::{Attempt, AttemptBudget, Outcome, Payload, Priority, RequestId, RequestKey, Span};
 
 /// Offers a queued request to another agent of the service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -22,7 +22,7 @@
     /// Time since the caller's first attempt.
     pub age: Span,
     /// Attempts left across all layers that retry.
-    pub budget: Budget,
+    pub budget: AttemptBudget,
     /// Precedence under overload.
     pub priority: Priority,
     /// Parameters of the call.
--- a/crates/types/src/profile.rs
+++ b/crates/types/src/profile.rs
@@ -1,19 +1,19 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use crate::{Buckets, Budget, Priority, Share, Span};
+use crate::{AttemptBudget, Buckets, Priority, Share, Span};
 
 /// How requests of one method are treated.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct ClassRule {
+pub struct MethodRule {
     /// The method's requests count as long, whatever their estimated running time.
     pub long: bool,
     /// Precedence under overload; a higher value is refused later.
     pub priority: Priority,
 }
 
-impl Default for ClassRule {
+impl Default for MethodRule {
     fn default() -> Self {
         Self {
             long: false,
@@ -40,13 +40,13 @@
     /// Deadline of requests that state none.
     pub deadline: Span,
     /// Attempts of one request across all layers that retry.
-    pub attempts: Budget,
+    pub attempts: AttemptBudget,
     /// Share of successes that may be spent on retries.
     pub retries: Share,
     /// Share of requests that are to be answered in time.
     pub objective: Share,
     /// Rules by method name.
-    pub methods: IndexMap<String, ClassRule>,
+    pub methods: IndexMap<String, MethodRule>,
 }
 
 impl Default for Profile {
@@ -56,7 +56,7 @@
             hunt: Span::from_millis(5),
             short_bound: Span::from_millis(100),
             deadline: Span::from_secs(2),
-            attempts: Budget::new(3),
+            attempts: AttemptBudget::new(3),
             retries: Share::new(0.1).unwrap_or_default(),
             objective: Share::new(0.999).unwrap_or_default(),
             methods: IndexMap::new(),
--- a/crates/types/src/request.rs
+++ b/crates/types/src/request.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Attempt, Budget, FlowId, MessageId, Payload, Priority, RequestKey, Span, Time};
+use crate::{Attempt, AttemptBudget, FlowId, MessageId, Payload, Priority, RequestKey, Span, Time};
 
 /// Identity of a request: its flow and the message that carried it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -37,7 +37,7 @@
     /// Time between the sending of the caller's first attempt and of this one.
     pub age: Span,
     /// Attempts left across all layers that retry.
-    pub budget: Budget,
+    pub budget: AttemptBudget,
     /// Precedence under overload.
     pub priority: Priority,
     /// Parameters, not read by the system.
--- a/crates/wire/src/meta.rs
+++ b/crates/wire/src/meta.rs
@@ -1,5 +1,5 @@
 use serde::{Deserialize, Serialize};
-use usher_types::{Attempt, Budget, Priority, RequestKey};
+use usher_types::{Attempt, AttemptBudget, Priority, RequestKey};
 
 /// Metadata of a request, in `params.meta`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -21,7 +21,7 @@
     pub age_ms: u64,
     /// Attempts left across all layers.
     #[serde(default)]
-    pub budget: Option<Budget>,
+    pub budget: Option<AttemptBudget>,
     /// Priority under overload; the profile's priority when absent.
     #[serde(default)]
     pub priority: Option<Priority>,
