--- a/crates/agent/src/agent_state.rs
+++ b/crates/agent/src/agent_state.rs
@@ -259,11 +259,14 @@
 
     fn on_agent_message(&mut self, from: SocketAddrV4, message: AgentMessage) {
         match message {
-            AgentMessage::Register(register) => {
-                self.on_flow_event(flows::Event::Register { from, register });
+            AgentMessage::Registration(registration) => {
+                self.on_flow_event(flows::Event::Registration { from, registration });
             }
-            AgentMessage::Registered(registered) => {
-                self.on_flow_event(flows::Event::Registered { from, registered });
+            AgentMessage::RegistrationAck(registration_ack) => {
+                self.on_flow_event(flows::Event::RegistrationAck {
+                    from,
+                    registration_ack,
+                });
             }
             AgentMessage::Claim(claim) => self.on_ledger_event(LedgerEvent::Claim(claim)),
             AgentMessage::Verdict(verdict) => {
--- a/crates/agent/src/flow_actions.rs
+++ b/crates/agent/src/flow_actions.rs
@@ -29,11 +29,14 @@
                     message: Message::Hint(hint),
                 });
             }
-            FlowAction::Register { to, register } => {
-                self.send(to, AgentMessage::Register(register));
+            FlowAction::Registration { to, registration } => {
+                self.send(to, AgentMessage::Registration(registration));
             }
-            FlowAction::Registered { to, registered } => {
-                self.send(to, AgentMessage::Registered(registered));
+            FlowAction::RegistrationAck {
+                to,
+                registration_ack,
+            } => {
+                self.send(to, AgentMessage::RegistrationAck(registration_ack));
             }
             FlowAction::Handover { host, transfer } => {
                 self.out.push(Action::HandOverFlows { to: host, transfer });
--- a/crates/capacity/src/sweeps/payload.rs
+++ b/crates/capacity/src/sweeps/payload.rs
@@ -2,8 +2,8 @@
 
 use usher_types::{
     AgentMessage, Attempt, AttemptBudget, Body, Decision, Generation, Hint, Message, MessageId,
-    Offer, Outcome, Packet, Payload, Priority, Register, Relay, RelayMode, RequestId, RequestKey,
-    Segment, Span, Verdict, Version,
+    Offer, Outcome, Packet, Payload, Priority, Registration, Relay, RelayMode, RequestId,
+    RequestKey, Segment, Span, Verdict, Version,
 };
 use usher_wire::{decode_message, decode_packet, encode_message, encode_packet};
 
@@ -49,7 +49,7 @@
         ),
         (
             "register_bytes",
-            agent_message(AgentMessage::Register(register())),
+            agent_message(AgentMessage::Registration(registration())),
         ),
         (
             "hint_bytes",
@@ -135,8 +135,8 @@
     }))
 }
 
-fn register() -> Register {
-    Register {
+fn registration() -> Registration {
+    Registration {
         flow: sample::flow(7, 0),
         holder: sample::agent(1),
         roster: Version::new(40_000_000),
--- a/crates/flows/src/action.rs
+++ b/crates/flows/src/action.rs
@@ -1,6 +1,6 @@
 use std::net::SocketAddrV4;
 
-use usher_types::{FlowId, Hint, HostId, Packet, Register, Registered, Relay, RequestId};
+use usher_types::{FlowId, Hint, HostId, Packet, Registration, RegistrationAck, Relay, RequestId};
 
 use crate::{Counter, Transfer};
 
@@ -31,18 +31,18 @@
         hint: Hint,
     },
     /// Registers a flow with the owner of its bucket.
-    Register {
+    Registration {
         /// Address of the owner's agent.
         to: SocketAddrV4,
         /// The message.
-        register: Register,
+        registration: Registration,
     },
     /// Answers a registration.
-    Registered {
+    RegistrationAck {
         /// Address of the agent that registered.
         to: SocketAddrV4,
         /// The message.
-        registered: Registered,
+        registration_ack: RegistrationAck,
     },
     /// Hands flows over to a host; answered by `Event::HandedOver` or `Event::HandoverFailed`.
     Handover {
--- a/crates/flows/src/event.rs
+++ b/crates/flows/src/event.rs
@@ -2,7 +2,8 @@
 use std::sync::Arc;
 
 use usher_types::{
-    FlowId, Generation, HostId, Register, Registered, Relay, RequestId, Roster, Span, Version,
+    FlowId, Generation, HostId, Registration, RegistrationAck, Relay, RequestId, Roster, Span,
+    Version,
 };
 
 use crate::Transfer;
@@ -30,18 +31,18 @@
         bytes: Vec<u8>,
     },
     /// Another agent registers a flow.
-    Register {
+    Registration {
         /// Address of the sender.
         from: SocketAddrV4,
         /// The message.
-        register: Register,
+        registration: Registration,
     },
     /// A bucket owner answers a registration.
-    Registered {
+    RegistrationAck {
         /// Address of the sender.
         from: SocketAddrV4,
         /// The message.
-        registered: Registered,
+        registration_ack: RegistrationAck,
     },
     /// Another agent hands over flows; answered by `Action::TookOver`.
     Handover(Transfer),
--- a/crates/flows/src/table.rs
+++ b/crates/flows/src/table.rs
@@ -151,8 +151,13 @@
                 self.settings.generation = self.settings.generation.max(generation);
             }
             Event::Reply { id, bytes } => self.reply(now, id, bytes),
-            Event::Register { from, register } => self.on_registration(now, from, &register),
-            Event::Registered { from, registered } => self.on_registered(now, from, &registered),
+            Event::Registration { from, registration } => {
+                self.on_registration(now, from, &registration)
+            }
+            Event::RegistrationAck {
+                from,
+                registration_ack,
+            } => self.on_registration_ack(now, from, &registration_ack),
             Event::Handover(transfer) => self.take_over(now, transfer),
             Event::HandedOver { to, flows } => self.handed_over(now, &to, &flows),
             Event::HandoverFailed { to } => self.handover_failed(now, &to),
--- a/crates/flows/src/table/registry.rs
+++ b/crates/flows/src/table/registry.rs
@@ -1,6 +1,6 @@
 use std::net::SocketAddrV4;
 
-use usher_types::{FlowId, Register, Registered, Span, Time};
+use usher_types::{FlowId, Registration, RegistrationAck, Span, Time};
 
 use super::FlowTable;
 use crate::directory::Basis;
@@ -94,12 +94,12 @@
 
     fn push_register(&mut self, to: SocketAddrV4, flow: FlowId, holder: SocketAddrV4) {
         let roster = self.membership.version();
-        let register = Register {
+        let registration = Registration {
             flow,
             holder,
             roster,
         };
-        self.actions.push(Action::Register { to, register });
+        self.actions.push(Action::Registration { to, registration });
     }
 
     /// Tells the bucket's owner that a flow held here has ended.
@@ -114,12 +114,17 @@
     }
 
     /// Handles a registration as the owner of the bucket.
-    pub(super) fn on_registration(&mut self, now: Time, from: SocketAddrV4, register: &Register) {
-        let Register {
+    pub(super) fn on_registration(
+        &mut self,
+        now: Time,
+        from: SocketAddrV4,
+        registration: &Registration,
+    ) {
+        let Registration {
             flow,
             holder,
             roster,
-        } = *register;
+        } = *registration;
         let owner = self.owner_of(&flow);
         let is_known = self.held.contains_key(&flow) || self.directory.find(now, &flow).is_some();
         let is_older = self.membership.version() > roster;
@@ -134,16 +139,16 @@
             Some(Held::Open(_)) => self.settings.agent,
             Some(Held::Moving(moving)) => moving.to(),
             Some(Held::Tombstone(_)) => holder,
-            None => self.record_holder(now, from, register),
+            None => self.record_holder(now, from, registration),
         };
         self.start_sweep(now);
-        let registered = Registered {
+        let registration_ack = RegistrationAck {
             flow,
             holder: known_holder,
         };
-        self.actions.push(Action::Registered {
+        self.actions.push(Action::RegistrationAck {
             to: from,
-            registered,
+            registration_ack,
         });
     }
 
@@ -152,13 +157,13 @@
         &mut self,
         now: Time,
         from: SocketAddrV4,
-        register: &Register,
+        registration: &Registration,
     ) -> SocketAddrV4 {
-        let Register {
+        let Registration {
             flow,
             holder,
             roster,
-        } = *register;
+        } = *registration;
         if let Some(entry) = self.directory.find(now, &flow) {
             let is_different = entry.holder != holder && entry.holder != from;
             let is_member = self.membership.host_at(entry.holder).is_some();
@@ -176,8 +181,13 @@
     ///
     /// The owner may not know yet that the agent it names has handed the flow over. That agent is
     /// asked before this one hands over its state, or the flow would circulate between them.
-    pub(super) fn on_registered(&mut self, now: Time, from: SocketAddrV4, registered: &Registered) {
-        let Registered { flow, holder } = *registered;
+    pub(super) fn on_registration_ack(
+        &mut self,
+        now: Time,
+        from: SocketAddrV4,
+        registration_ack: &RegistrationAck,
+    ) {
+        let RegistrationAck { flow, holder } = *registration_ack;
         let own = self.settings.agent;
         let is_owner = self.owner_of(&flow) == Some(from);
         let queried = self.other_holders.get(&flow).copied();
--- a/crates/flows/tests/net/mod.rs
+++ b/crates/flows/tests/net/mod.rs
@@ -149,15 +149,21 @@
                         .hints
                         .insert(hint.flow, hint.holder);
                 }
-                Action::Register { to, register } => {
-                    self.wire
-                        .push_back(Message::Register(index_of(to), agent(index), register));
+                Action::Registration { to, registration } => {
+                    self.wire.push_back(Message::Registration(
+                        index_of(to),
+                        agent(index),
+                        registration,
+                    ));
                 }
-                Action::Registered { to, registered } => {
-                    self.wire.push_back(Message::Registered(
+                Action::RegistrationAck {
+                    to,
+                    registration_ack,
+                } => {
+                    self.wire.push_back(Message::RegistrationAck(
                         index_of(to),
                         agent(index),
-                        registered,
+                        registration_ack,
                     ));
                 }
                 Action::Handover { host, transfer } => {
@@ -278,11 +284,17 @@
         match message {
             Message::Relay(to, relay) => self.event(to, Event::Relay(relay)),
             Message::Caller(packet) => self.receive_packet(balancer, packet),
-            Message::Register(to, from, register) => {
-                self.event(to, Event::Register { from, register });
+            Message::Registration(to, from, registration) => {
+                self.event(to, Event::Registration { from, registration });
             }
-            Message::Registered(to, from, registered) => {
-                self.event(to, Event::Registered { from, registered });
+            Message::RegistrationAck(to, from, registration_ack) => {
+                self.event(
+                    to,
+                    Event::RegistrationAck {
+                        from,
+                        registration_ack,
+                    },
+                );
             }
             Message::Handover(to, host, from, transfer) => {
                 if self.tables[to].is_none() {
--- a/crates/types/src/agent_message.rs
+++ b/crates/types/src/agent_message.rs
@@ -1,6 +1,6 @@
 use crate::{
-    Claim, Complete, Completed, Offer, OfferDone, OfferOutcome, OfferReply, Register, Registered,
-    Verdict,
+    Claim, Complete, Completed, Offer, OfferDone, OfferOutcome, OfferReply, Registration,
+    RegistrationAck, Verdict,
 };
 use serde::{Deserialize, Serialize};
 
@@ -8,9 +8,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AgentMessage {
     /// Registers a flow with the owner of its bucket.
-    Register(Register),
+    Registration(Registration),
     /// Answer to a registration.
-    Registered(Registered),
+    RegistrationAck(RegistrationAck),
     /// Asks the owner of a request key for permission to dispatch.
     Claim(Claim),
     /// Answer to a claim.
--- a/crates/types/src/register.rs
+++ b/crates/types/src/registration.rs
@@ -6,7 +6,7 @@
 
 /// Tells the owner of a bucket that a flow of that bucket is held elsewhere.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Register {
+pub struct Registration {
     /// The flow.
     pub flow: FlowId,
     /// Address of the agent that holds it.
@@ -15,9 +15,9 @@
     pub roster: Version,
 }
 
-/// Acknowledges a `Register`.
+/// Acknowledges a `Registration`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Registered {
+pub struct RegistrationAck {
     /// The flow.
     pub flow: FlowId,
     /// Agent that the owner considers the holder.
