--- a/crates/admission/src/job.rs
+++ b/crates/admission/src/job.rs
@@ -15,7 +15,7 @@
 /// Waits for a slot and has no permission to be dispatched.
 #[derive(Debug)]
 pub(crate) struct Queued {
-    /// When the key owner was asked, while its verdict is pending.
+    /// When the key owner was asked, while its reply is pending.
     pub(crate) claim: Option<Time>,
 }
 
@@ -35,7 +35,7 @@
     pub(crate) cancelled: bool,
 }
 
-/// Refused; the verdict on its claim decides which outcome the caller gets.
+/// Refused; the reply to its claim decides which outcome the caller gets.
 #[derive(Debug)]
 pub(crate) struct Refusing {
     pub(crate) refusal: Refusal,
--- a/crates/agent/src/agent_state.rs
+++ b/crates/agent/src/agent_state.rs
@@ -269,13 +269,15 @@
                 });
             }
             AgentMessage::Claim(claim) => self.on_ledger_event(LedgerEvent::Claim(claim)),
-            AgentMessage::Verdict(verdict) => {
-                self.on_claimant_event(ClaimantEvent::Verdict(verdict));
+            AgentMessage::ClaimReply(claim_reply) => {
+                self.on_claimant_event(ClaimantEvent::ClaimReply(claim_reply));
             }
-            AgentMessage::Complete(complete) => {
-                self.on_ledger_event(LedgerEvent::Complete(complete));
+            AgentMessage::Completion(completion) => {
+                self.on_ledger_event(LedgerEvent::Completion(completion));
+            }
+            AgentMessage::CompletionAck(completion_ack) => {
+                self.on_claimant_event(ClaimantEvent::CompletionAck(completion_ack))
             }
-            AgentMessage::Completed(done) => self.on_claimant_event(ClaimantEvent::Completed(done)),
             AgentMessage::Offer(offer) => self.on_offer(offer),
             AgentMessage::OfferReply(reply) => {
                 self.on_request_event(admission::Event::OfferReply { from, reply });
--- a/crates/agent/src/key_actions.rs
+++ b/crates/agent/src/key_actions.rs
@@ -17,8 +17,8 @@
     fn on_claimant_action(&mut self, action: ClaimantAction) {
         match action {
             ClaimantAction::Claim { to, claim } => self.send(to, AgentMessage::Claim(claim)),
-            ClaimantAction::Complete { to, complete } => {
-                self.send(to, AgentMessage::Complete(complete));
+            ClaimantAction::Completion { to, completion } => {
+                self.send(to, AgentMessage::Completion(completion));
             }
             ClaimantAction::Permit { key, start_by } => {
                 self.resolve(key, |id| RequestEvent::Permit { id, start_by });
@@ -50,9 +50,11 @@
 
     fn on_ledger_action(&mut self, action: LedgerAction) {
         match action {
-            LedgerAction::Verdict { to, verdict } => self.send(to, AgentMessage::Verdict(verdict)),
-            LedgerAction::Completed { to, completed } => {
-                self.send(to, AgentMessage::Completed(completed));
+            LedgerAction::ClaimReply { to, claim_reply } => {
+                self.send(to, AgentMessage::ClaimReply(claim_reply))
+            }
+            LedgerAction::CompletionAck { to, completion_ack } => {
+                self.send(to, AgentMessage::CompletionAck(completion_ack));
             }
             LedgerAction::Handover { to, transfer } => {
                 self.out.push(Action::HandOverRecords { to, transfer });
--- a/crates/capacity/src/sweeps/payload.rs
+++ b/crates/capacity/src/sweeps/payload.rs
@@ -1,9 +1,9 @@
 use std::io;
 
 use usher_types::{
-    AgentMessage, Attempt, AttemptBudget, Body, Decision, Generation, Hint, Message, MessageId,
-    Offer, Outcome, Packet, Payload, Priority, Registration, Relay, RelayMode, RequestId,
-    RequestKey, Segment, Span, Verdict, Version,
+    AgentMessage, Attempt, AttemptBudget, Body, ClaimReply, Decision, Generation, Hint, Message,
+    MessageId, Offer, Outcome, Packet, Payload, Priority, Registration, Relay, RelayMode,
+    RequestId, RequestKey, Segment, Span, Version,
 };
 use usher_wire::{decode_message, decode_packet, encode_message, encode_packet};
 
@@ -37,11 +37,11 @@
         ("offer_bytes", offer(payload.clone())),
         (
             "verdict_answer_bytes",
-            verdict(Decision::Finished(Outcome::Answered(payload))),
+            claim_reply(Decision::Finished(Outcome::Answered(payload))),
         ),
         (
             "verdict_grant_bytes",
-            verdict(Decision::Granted(Span::from_millis(2_900))),
+            claim_reply(Decision::Granted(Span::from_millis(2_900))),
         ),
         (
             "claim_bytes",
@@ -127,8 +127,8 @@
     }))
 }
 
-fn verdict(decision: Decision) -> Message {
-    agent_message(AgentMessage::Verdict(Verdict {
+fn claim_reply(decision: Decision) -> Message {
+    agent_message(AgentMessage::ClaimReply(ClaimReply {
         key: RequestKey::new(u128::MAX / 3),
         sent: sample::START,
         decision,
--- a/crates/capacity/src/sweeps/records.rs
+++ b/crates/capacity/src/sweeps/records.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 
 use usher_dedupe::{Agent, Ledger, LedgerEvent, Origin, RosterHistory};
-use usher_types::{Complete, Outcome, Payload, Roster};
+use usher_types::{Completion, Outcome, Payload, Roster};
 
 use super::service::claim;
 use crate::{Point, meter, sample};
@@ -35,7 +35,7 @@
         });
         let ((), complete_nanos) = meter::time_once(|| {
             for key in 0..records {
-                ledger.handle(now, LedgerEvent::Complete(complete(key)));
+                ledger.handle(now, LedgerEvent::Completion(completion(key)));
             }
         });
         (claim_nanos, complete_nanos)
@@ -47,9 +47,9 @@
     Ok(())
 }
 
-fn complete(key: usize) -> Complete {
+fn completion(key: usize) -> Completion {
     let claim = claim(key, sample::START);
-    Complete {
+    Completion {
         key: claim.key,
         holder: claim.holder,
         incarnation: claim.incarnation,
--- a/crates/dedupe/src/action.rs
+++ b/crates/dedupe/src/action.rs
@@ -1,7 +1,7 @@
 use std::net::SocketAddrV4;
 
 use usher_types::{
-    Claim, Complete, Completed, HostId, Outcome, RequestKey, Time, Verdict, Version,
+    Claim, ClaimReply, Completion, CompletionAck, HostId, Outcome, RequestKey, Time, Version,
 };
 
 use crate::Transfer;
@@ -9,19 +9,19 @@
 /// Output of a `Ledger`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LedgerAction {
-    /// Send a verdict.
-    Verdict {
+    /// Send the reply to a claim.
+    ClaimReply {
         /// Address of the holder's agent.
         to: SocketAddrV4,
         /// The message.
-        verdict: Verdict,
+        claim_reply: ClaimReply,
     },
     /// Acknowledge an outcome.
-    Completed {
+    CompletionAck {
         /// Address of the holder's agent.
         to: SocketAddrV4,
         /// The message.
-        completed: Completed,
+        completion_ack: CompletionAck,
     },
     /// Hand records over; repeated until `TakeoverAcked`.
     Handover {
@@ -71,11 +71,11 @@
         claim: Claim,
     },
     /// Report an outcome to the key's owner.
-    Complete {
+    Completion {
         /// Address of the owner's agent.
         to: SocketAddrV4,
         /// The message.
-        complete: Complete,
+        completion: Completion,
     },
     /// The request may be dispatched; the backend server must not start it after `start_by`.
     Permit {
--- a/crates/dedupe/src/claimant.rs
+++ b/crates/dedupe/src/claimant.rs
@@ -2,7 +2,8 @@
 use std::sync::Arc;
 
 use usher_types::{
-    Claim, Complete, Completed, Decision, Outcome, Refusal, RequestKey, Roster, Span, Time, Verdict,
+    Claim, ClaimReply, Completion, CompletionAck, Decision, Outcome, Refusal, RequestKey, Roster,
+    Span, Time,
 };
 
 use crate::action::ClaimantAction;
@@ -36,7 +37,7 @@
 }
 
 impl Claimant {
-    /// Creates a claimant that receives verdicts at `reply`.
+    /// Creates a claimant that receives replies at `reply`.
     ///
     /// ```
     /// use usher_dedupe::{Agent, Claimant};
@@ -83,11 +84,15 @@
                 let request = Request::new(now, attempt, age + stalled, deadline);
                 self.request(key, request, &mut actions);
             }
-            ClaimantEvent::Verdict(verdict) => self.verdict(now, verdict, &mut actions),
+            ClaimantEvent::ClaimReply(claim_reply) => {
+                self.claim_reply(now, claim_reply, &mut actions)
+            }
             ClaimantEvent::Report { key, outcome } => {
                 self.report(now, key, outcome, &mut actions);
             }
-            ClaimantEvent::Completed(completed) => self.completed(now, &completed),
+            ClaimantEvent::CompletionAck(completion_ack) => {
+                self.completion_ack(now, &completion_ack)
+            }
             ClaimantEvent::Roster(roster) => self.adopt(now, roster),
             ClaimantEvent::Tick => {}
         }
@@ -139,24 +144,31 @@
         }
     }
 
-    fn verdict(&mut self, now: Time, verdict: Verdict, actions: &mut Vec<ClaimantAction>) {
-        let key = verdict.key;
+    fn claim_reply(
+        &mut self,
+        now: Time,
+        claim_reply: ClaimReply,
+        actions: &mut Vec<ClaimantAction>,
+    ) {
+        let key = claim_reply.key;
         let Some(request) = self.requests.get(key) else {
             return;
         };
-        // Verdicts on replaced claims are ignored.
+        // Replies to replaced claims are ignored.
         match &request.phase {
-            Phase::Claiming(claim) if claim.sent == verdict.sent => {}
+            Phase::Claiming(claim) if claim.sent == claim_reply.sent => {}
             _ => return,
         }
         let mut request = request.clone();
-        match verdict.decision {
+        match claim_reply.decision {
             Decision::Granted(span) => {
-                let start_by = verdict.sent + lower_bound(span);
+                let start_by = claim_reply.sent + lower_bound(span);
                 if start_by <= now || request.deadline <= now {
                     return self.pause(now, key, request, RESEND_DELAY);
                 }
-                request.phase = Phase::Permitted { sent: verdict.sent };
+                request.phase = Phase::Permitted {
+                    sent: claim_reply.sent,
+                };
                 request.due = start_by + RUN_LIMIT;
                 self.requests.put(key, request);
                 actions.push(ClaimantAction::Permit { key, start_by });
@@ -221,15 +233,15 @@
         self.requests.put(key, request);
     }
 
-    fn completed(&mut self, now: Time, completed: &Completed) {
-        let Some(request) = self.requests.get(completed.key) else {
+    fn completion_ack(&mut self, now: Time, completion_ack: &CompletionAck) {
+        let Some(request) = self.requests.get(completion_ack.key) else {
             return;
         };
         if let Phase::Reporting { sent, outcome, .. } = &request.phase
-            && *sent == completed.sent
+            && *sent == completion_ack.sent
         {
             let outcome = outcome.clone();
-            self.finish(now, completed.key, outcome);
+            self.finish(now, completion_ack.key, outcome);
         }
     }
 
@@ -288,7 +300,7 @@
         }
     }
 
-    // A new claim replaces the earlier ones of this key: only its verdict counts.
+    // A new claim replaces the earlier ones of this key: only its reply counts.
     fn claim(
         &mut self,
         now: Time,
@@ -345,7 +357,7 @@
     ) {
         let (sent, outcome) = report;
         if let Some(to) = self.owner(key) {
-            let complete = Complete {
+            let completion = Completion {
                 key,
                 holder: self.agent.host.clone(),
                 incarnation: self.agent.incarnation,
@@ -353,7 +365,7 @@
                 reply: self.reply,
                 outcome,
             };
-            actions.push(ClaimantAction::Complete { to, complete });
+            actions.push(ClaimantAction::Completion { to, completion });
         }
         request.back_off(now);
         self.requests.put(key, request);
@@ -367,7 +379,7 @@
         self.requests.put(key, request);
     }
 
-    // The owner may have recorded a grant whose verdict was lost, so the grant is released.
+    // The owner may have recorded a grant whose reply was lost, so the grant is released.
     fn give_up(
         &mut self,
         now: Time,
--- a/crates/dedupe/src/event.rs
+++ b/crates/dedupe/src/event.rs
@@ -1,8 +1,8 @@
 use std::sync::Arc;
 
 use usher_types::{
-    Attempt, BeatAck, Claim, Complete, Completed, HostId, Outcome, RequestKey, Roster, Span, Time,
-    Verdict, Version,
+    Attempt, BeatAck, Claim, ClaimReply, Completion, CompletionAck, HostId, Outcome, RequestKey,
+    Roster, Span, Time, Version,
 };
 
 use crate::Transfer;
@@ -27,7 +27,7 @@
     /// A holder asks for a grant.
     Claim(Claim),
     /// A holder reports an outcome.
-    Complete(Complete),
+    Completion(Completion),
     /// A member acknowledged a heartbeat of this agent.
     Ack(BeatAck),
     /// A member has adopted a roster version, seen in a `Beat` or `BeatAck`.
@@ -69,7 +69,7 @@
         deadline: Time,
     },
     /// The owner has answered a claim.
-    Verdict(Verdict),
+    ClaimReply(ClaimReply),
     /// A permitted request has ended; `NotRun` releases the key.
     Report {
         /// Key of the request.
@@ -78,7 +78,7 @@
         outcome: Outcome,
     },
     /// The owner has recorded an outcome.
-    Completed(Completed),
+    CompletionAck(CompletionAck),
     /// A roster was adopted; lower versions are ignored.
     Roster(Arc<Roster>),
     /// The timer has expired.
--- a/crates/dedupe/src/ledger.rs
+++ b/crates/dedupe/src/ledger.rs
@@ -2,8 +2,8 @@
 
 use indexmap::IndexMap;
 use usher_types::{
-    Claim, Complete, Completed, Decision, HostId, Outcome, Refusal, RequestKey, Span, Time,
-    Verdict, Version,
+    Claim, ClaimReply, Completion, CompletionAck, Decision, HostId, Outcome, Refusal, RequestKey,
+    Span, Time, Version,
 };
 
 use crate::action::{Counter, LedgerAction};
@@ -74,7 +74,7 @@
         match event {
             LedgerEvent::Roster(roster_history) => self.adopt(now, roster_history),
             LedgerEvent::Claim(claim) => actions.extend(self.claim(now, &claim)),
-            LedgerEvent::Complete(complete) => actions.extend(self.complete(now, complete)),
+            LedgerEvent::Completion(completion) => actions.extend(self.complete(now, completion)),
             LedgerEvent::Ack(ack) => {
                 self.lease = self.lease.take().map(|lease| lease.acknowledge(now, &ack));
             }
@@ -202,7 +202,7 @@
         let Some((decision, counter)) = self.decide(now, claim) else {
             return Vec::new();
         };
-        let verdict = Verdict {
+        let claim_reply = ClaimReply {
             key: claim.key,
             sent: claim.sent,
             decision,
@@ -210,11 +210,11 @@
         let to = claim.reply;
         vec![
             LedgerAction::Count(counter),
-            LedgerAction::Verdict { to, verdict },
+            LedgerAction::ClaimReply { to, claim_reply },
         ]
     }
 
-    // Claims that their holder has replaced by newer ones get no verdict.
+    // Claims that their holder has replaced by newer ones get no reply.
     fn decide(&mut self, now: Time, claim: &Claim) -> Option<(Decision, Counter)> {
         if !self.owns(claim.key) {
             let version = self.history.version();
@@ -281,17 +281,17 @@
         }
     }
 
-    fn complete(&mut self, now: Time, complete: Complete) -> Vec<LedgerAction> {
-        let key = complete.key;
+    fn complete(&mut self, now: Time, completion: Completion) -> Vec<LedgerAction> {
+        let key = completion.key;
         if !self.owns(key) {
             return vec![LedgerAction::Count(Counter::Misdirected)];
         }
-        let to = complete.reply;
-        let sent = complete.sent;
-        if matches!(complete.outcome, Outcome::NotRun { .. }) {
-            self.release(now, complete);
+        let to = completion.reply;
+        let sent = completion.sent;
+        if matches!(completion.outcome, Outcome::NotRun { .. }) {
+            self.release(now, completion);
         } else {
-            let reported = State::of(complete.outcome);
+            let reported = State::of(completion.outcome);
             let state = match self.table.get(key) {
                 Some(State::Finished(_)) => None,
                 Some(State::Unknown) if reported == State::Unknown => None,
@@ -301,17 +301,17 @@
                 self.table.put(now, key, state);
             }
         }
-        let completed = Completed { key, sent };
-        vec![LedgerAction::Completed { to, completed }]
+        let completion_ack = CompletionAck { key, sent };
+        vec![LedgerAction::CompletionAck { to, completion_ack }]
     }
 
     // Only the process that holds the grant can release it.
-    fn release(&mut self, now: Time, complete: Complete) {
+    fn release(&mut self, now: Time, completion: Completion) {
         let releaser = Agent {
-            host: complete.holder,
-            incarnation: complete.incarnation,
+            host: completion.holder,
+            incarnation: completion.incarnation,
         };
-        let granted = self.table.get(complete.key);
+        let granted = self.table.get(completion.key);
         let Some(State::Granted {
             holder,
             sent,
@@ -321,13 +321,13 @@
         else {
             return;
         };
-        if *holder == releaser && complete.sent >= *sent {
+        if *holder == releaser && completion.sent >= *sent {
             let state = State::Released {
                 holder: releaser,
-                sent: complete.sent,
+                sent: completion.sent,
                 attempt: *attempt,
             };
-            self.table.put(now, complete.key, state);
+            self.table.put(now, completion.key, state);
         }
     }
 
--- a/crates/dedupe/src/lib.rs
+++ b/crates/dedupe/src/lib.rs
@@ -8,7 +8,7 @@
 //!   runs one agent at a time.
 //! - Lease: an owner grants under a held lease, for the rest of that lease. The holder counts this span
 //!   from the time it sent the claim, so no dispatch starts after the lease has ended. A paused owner or
-//!   holder, or a claim or verdict delayed by more than a lease, yields a deadline in the past.
+//!   holder, or a claim or reply delayed by more than a lease, yields a deadline in the past.
 //! - One owner: a lease of roster u needs a quorum of u whose members have adopted nothing newer. It
 //!   intersects every activation quorum, so 3 s after that quorum has adopted a newer roster no grant
 //!   of u can start. An owner that adopts a newer roster stops at once and hands its records over.
@@ -19,8 +19,8 @@
 //!   lease. Packets wait in a paused holder's socket, so a `Claimant` adds its own stalls to `age`.
 //! - Skipped rosters: an owner of a roster that this process never saw can hold a lease of a quorum it
 //!   does not know. A process therefore grants nothing until it is given all unsettled rosters.
-//! - Duplicates: a repeated claim repeats its verdict. A newer claim of the same process replaces its
-//!   grant, because a `Claimant` ignores verdicts on earlier claims and sends no claim after a permit
+//! - Duplicates: a repeated claim repeats its reply. A newer claim of the same process replaces its
+//!   grant, because a `Claimant` ignores replies to earlier claims and sends no claim after a permit
 //!   until the request is reported as not run. A release names its claim, so a delayed one cannot
 //!   release a later grant.
 //! - Records: a merge keeps the state that refuses more claims; two different grants of one key merge
--- a/crates/dedupe/src/request.rs
+++ b/crates/dedupe/src/request.rs
@@ -5,7 +5,7 @@
 /// Progress of a request from its first claim to its recorded outcome.
 #[derive(Debug, Clone)]
 pub(crate) enum Phase {
-    /// A claim was sent and awaits its verdict.
+    /// A claim was sent and awaits its reply.
     Claiming(Claim),
     /// The next claim is sent when the request is due.
     Pausing,
--- a/crates/dedupe/tests/dedupe/claimant.rs
+++ b/crates/dedupe/tests/dedupe/claimant.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use usher_dedupe::{Claimant, ClaimantAction, ClaimantEvent};
 use usher_types::{
-    Attempt, Completed, Decision, HostId, Outcome, RequestKey, Span, Verdict, Version,
+    Attempt, ClaimReply, CompletionAck, Decision, HostId, Outcome, RequestKey, Span, Version,
 };
 
 use crate::fixture::{START, address, agent, index, outcome, roster};
@@ -55,7 +55,7 @@
         Step::Verdict {
             sent,
             decision: text,
-        } => ClaimantEvent::Verdict(Verdict {
+        } => ClaimantEvent::ClaimReply(ClaimReply {
             key,
             sent: START + *sent,
             decision: decision(text),
@@ -64,7 +64,7 @@
             key,
             outcome: outcome(text),
         },
-        Step::Completed { sent } => ClaimantEvent::Completed(Completed {
+        Step::Completed { sent } => ClaimantEvent::CompletionAck(CompletionAck {
             key,
             sent: START + *sent,
         }),
@@ -87,12 +87,12 @@
                 claim.age
             )
         }
-        ClaimantAction::Complete { to, complete } => {
-            let sent = complete.sent - START;
+        ClaimantAction::Completion { to, completion } => {
+            let sent = completion.sent - START;
             format!(
                 "complete {} sent {sent} {}",
                 index(*to),
-                name(&complete.outcome)
+                name(&completion.outcome)
             )
         }
         ClaimantAction::Permit { start_by, .. } => format!("permit {}", *start_by - START),
--- a/crates/dedupe/tests/dedupe/ledger.rs
+++ b/crates/dedupe/tests/dedupe/ledger.rs
@@ -9,7 +9,7 @@
     owner_of,
 };
 use usher_types::{
-    Attempt, BeatAck, Claim, Complete, Decision, HostId, Outcome, PastRoster, Peer, RequestKey,
+    Attempt, BeatAck, Claim, Completion, Decision, HostId, Outcome, PastRoster, Peer, RequestKey,
     Roster, Span, Version,
 };
 
@@ -160,7 +160,7 @@
                 holder,
                 sent,
                 outcome: text,
-            } => LedgerEvent::Complete(Complete {
+            } => LedgerEvent::Completion(Completion {
                 key,
                 holder: agent(holder).host,
                 incarnation: agent(holder).incarnation,
@@ -215,7 +215,7 @@
 
 fn describe(action: &LedgerAction) -> Option<String> {
     Some(match action {
-        LedgerAction::Verdict { verdict, .. } => match &verdict.decision {
+        LedgerAction::ClaimReply { claim_reply, .. } => match &claim_reply.decision {
             Decision::Granted(span) => format!("granted {span}"),
             Decision::Finished(Outcome::NotRun { .. }) => "refused".to_owned(),
             Decision::Finished(_) => "finished".to_owned(),
@@ -224,7 +224,7 @@
             Decision::Wait(_) => "wait".to_owned(),
             Decision::NotOwner(version) => format!("not owner {version}"),
         },
-        LedgerAction::Completed { .. } => "completed".to_owned(),
+        LedgerAction::CompletionAck { .. } => "completed".to_owned(),
         LedgerAction::Handover { to, transfer } => {
             format!("handover {to} {} records", transfer.records.len())
         }
--- a/crates/dedupe/tests/dedupe/simulation.rs
+++ b/crates/dedupe/tests/dedupe/simulation.rs
@@ -283,12 +283,13 @@
         let clock = process.clock(self.now);
         for action in process.ledger.handle(clock, event) {
             let (to, task) = match action {
-                LedgerAction::Verdict { to, verdict } => {
-                    (index(to), Task::Claimant(ClaimantEvent::Verdict(verdict)))
-                }
-                LedgerAction::Completed { to, completed } => (
+                LedgerAction::ClaimReply { to, claim_reply } => (
+                    index(to),
+                    Task::Claimant(ClaimantEvent::ClaimReply(claim_reply)),
+                ),
+                LedgerAction::CompletionAck { to, completion_ack } => (
                     index(to),
-                    Task::Claimant(ClaimantEvent::Completed(completed)),
+                    Task::Claimant(ClaimantEvent::CompletionAck(completion_ack)),
                 ),
                 LedgerAction::Handover { to, transfer } => {
                     (index_of(&to), Task::Ledger(LedgerEvent::Takeover(transfer)))
@@ -319,8 +320,11 @@
                 ClaimantAction::Claim { to, claim } => {
                     self.send(index(to), &Task::Ledger(LedgerEvent::Claim(claim)));
                 }
-                ClaimantAction::Complete { to, complete } => {
-                    self.send(index(to), &Task::Ledger(LedgerEvent::Complete(complete)));
+                ClaimantAction::Completion { to, completion } => {
+                    self.send(
+                        index(to),
+                        &Task::Ledger(LedgerEvent::Completion(completion)),
+                    );
                 }
                 ClaimantAction::Permit { key, start_by } => self.dispatch(host, key, start_by),
                 _ => {}
--- a/crates/types/src/agent_message.rs
+++ b/crates/types/src/agent_message.rs
@@ -1,6 +1,6 @@
 use crate::{
-    Claim, Complete, Completed, Offer, OfferDone, OfferOutcome, OfferReply, Registration,
-    RegistrationAck, Verdict,
+    Claim, ClaimReply, Completion, CompletionAck, Offer, OfferDone, OfferOutcome, OfferReply,
+    Registration, RegistrationAck,
 };
 use serde::{Deserialize, Serialize};
 
@@ -14,11 +14,11 @@
     /// Asks the owner of a request key for permission to dispatch.
     Claim(Claim),
     /// Answer to a claim.
-    Verdict(Verdict),
+    ClaimReply(ClaimReply),
     /// Reports the outcome of a request whose claim was granted.
-    Complete(Complete),
-    /// Answer to a `Complete`.
-    Completed(Completed),
+    Completion(Completion),
+    /// Answer to a `Completion`.
+    CompletionAck(CompletionAck),
     /// Offers a queued request to another agent.
     Offer(Offer),
     /// Answer to an offer.
--- a/crates/types/src/claim.rs
+++ b/crates/types/src/claim.rs
@@ -19,17 +19,17 @@
     pub holder: HostId,
     /// Incarnation of that agent; a restarted agent does not know its predecessor's claims.
     pub incarnation: Incarnation,
-    /// Address that the verdict goes to.
+    /// Address that the reply goes to.
     pub reply: SocketAddrV4,
     /// Roster version under which the receiver is the owner.
     pub roster: Version,
-    /// Time of sending on the holder's clock, echoed in the verdict.
+    /// Time of sending on the holder's clock, echoed in the reply.
     pub sent: Time,
 }
 
 /// The owner's answer to a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Verdict {
+pub struct ClaimReply {
     /// Key of the claim.
     pub key: RequestKey,
     /// `sent` of the claim.
@@ -57,7 +57,7 @@
 
 /// Reports the outcome of a granted request to the owner of its key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Complete {
+pub struct Completion {
     /// Key of the request.
     pub key: RequestKey,
     /// Host that held the grant.
@@ -72,11 +72,11 @@
     pub outcome: Outcome,
 }
 
-/// Acknowledges a `Complete`.
+/// Acknowledges a `Completion`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Completed {
+pub struct CompletionAck {
     /// Key of the request.
     pub key: RequestKey,
-    /// `sent` of the `Complete`.
+    /// `sent` of the `Completion`.
     pub sent: Time,
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -29,7 +29,7 @@
 
 pub use agent_message::AgentMessage;
 pub use beat::{Beat, BeatAck, Peer};
-pub use claim::{Claim, Complete, Completed, Decision, Verdict};
+pub use claim::{Claim, ClaimReply, Completion, CompletionAck, Decision};
 pub use error::ParseError;
 pub use fleet::{Balancer, Fleet};
 pub use flow_id::FlowId;
