--- a/crates/admission/src/action.rs
+++ b/crates/admission/src/action.rs
@@ -1,8 +1,8 @@
 use std::net::SocketAddrV4;
 
 use usher_types::{
-    Attempt, Offer, OfferDone, OfferOutcome, OfferReply, Outcome, Payload, RequestId, RequestKey,
-    Span, Time,
+    Attempt, Offer, OfferOutcome, OfferOutcomeAck, OfferReply, Outcome, Payload, RequestId,
+    RequestKey, Span, Time,
 };
 
 use crate::Counter;
@@ -79,11 +79,11 @@
         outcome: OfferOutcome,
     },
     /// Acknowledge an outcome that a peer reported.
-    OfferDone {
+    OfferOutcomeAck {
         /// The peer.
         to: SocketAddrV4,
         /// The acknowledgement.
-        done: OfferDone,
+        outcome_ack: OfferOutcomeAck,
     },
     /// The drain is complete: the scheduler holds no more requests.
     Drained,
--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -2,8 +2,8 @@
 use std::sync::Arc;
 
 use usher_types::{
-    Offer, OfferDone, OfferOutcome, OfferReply, Outcome, Profile, Request, RequestId, Slots, Span,
-    Time,
+    Offer, OfferOutcome, OfferOutcomeAck, OfferReply, Outcome, Profile, Request, RequestId, Slots,
+    Span, Time,
 };
 
 /// An input of the scheduler.
@@ -66,7 +66,7 @@
     /// A peer reports the outcome of a request that it took.
     OfferOutcome(OfferOutcome),
     /// A peer acknowledges an outcome.
-    OfferDone(OfferDone),
+    OfferOutcomeAck(OfferOutcomeAck),
     /// Estimated waits that the other agents of the service reported, by address.
     Peers(Vec<(SocketAddrV4, Span)>),
     /// A new version of the service's profile is in force.
--- a/crates/admission/src/scheduler.rs
+++ b/crates/admission/src/scheduler.rs
@@ -126,7 +126,7 @@
             Event::Offered(offer) => self.offered(now, offer),
             Event::OfferReply { from, reply } => self.offer_reply(now, from, &reply),
             Event::OfferOutcome(outcome) => self.offer_outcome(now, outcome),
-            Event::OfferDone(done) => self.offer_done(now, done.id),
+            Event::OfferOutcomeAck(outcome_ack) => self.offer_outcome_ack(now, outcome_ack.id),
             Event::Peers(waits) => self.peers = Peers::new(waits),
             Event::Profile(profile) => self.profile = profile,
             Event::Slots(slots) => self.runs.slots = slots,
--- a/crates/admission/src/sharing.rs
+++ b/crates/admission/src/sharing.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 
 use usher_types::{
-    Offer, OfferDone, OfferOutcome, OfferReply, Outcome, Request, RequestId, Span, Time,
+    Offer, OfferOutcome, OfferOutcomeAck, OfferReply, Outcome, Request, RequestId, Span, Time,
 };
 
 use crate::class::Class;
@@ -142,8 +142,11 @@
 
     pub(crate) fn offer_outcome(&mut self, now: Time, report: OfferOutcome) {
         let OfferOutcome { id, outcome, reply } = report;
-        let done = OfferDone { id };
-        self.out.push(Action::OfferDone { to: reply, done });
+        let outcome_ack = OfferOutcomeAck { id };
+        self.out.push(Action::OfferOutcomeAck {
+            to: reply,
+            outcome_ack,
+        });
         match self.table.take(&id) {
             Some(Entry::Delegated(job)) => self.end_delegated(now, job.returned(), outcome),
             Some(Entry::Offered(job)) if job.state.to == reply => {
@@ -230,7 +233,7 @@
         self.table.insert(Entry::Finished(job));
     }
 
-    pub(crate) fn offer_done(&mut self, now: Time, id: RequestId) {
+    pub(crate) fn offer_outcome_ack(&mut self, now: Time, id: RequestId) {
         match self.table.take(&id) {
             Some(Entry::Finished(_)) => self.closed_offers.add(now, id),
             Some(entry) => self.table.insert(entry),
--- a/crates/admission/tests/admission/text.rs
+++ b/crates/admission/tests/admission/text.rs
@@ -4,8 +4,8 @@
 
 use usher_admission::{Action, Event};
 use usher_types::{
-    Attempt, AttemptBudget, Offer, OfferDone, OfferOutcome, OfferReply, Outcome, Payload, Priority,
-    Request, RequestKey, Slots, Span, Time,
+    Attempt, AttemptBudget, Offer, OfferOutcome, OfferOutcomeAck, OfferReply, Outcome, Payload,
+    Priority, Request, RequestKey, Slots, Span, Time,
 };
 
 use crate::common::{answer, id, not_run, peer};
@@ -126,7 +126,7 @@
             outcome: line.outcome(),
             reply: peer(line.field("from", 1) as u16),
         }),
-        "done" => Event::OfferDone(OfferDone { id: target() }),
+        "done" => Event::OfferOutcomeAck(OfferOutcomeAck { id: target() }),
         "peer" => {
             let wait = Span::from_millis(line.field("wait", 0));
             Event::Peers(vec![(peer(line.number() as u16), wait)])
@@ -166,7 +166,9 @@
             let text = outcome_text(&outcome.outcome);
             format!("offer-outcome {} {} {text}", to.port(), outcome.id.message)
         }
-        Action::OfferDone { to, done } => format!("offer-done {} {}", to.port(), done.id.message),
+        Action::OfferOutcomeAck { to, outcome_ack } => {
+            format!("offer-done {} {}", to.port(), outcome_ack.id.message)
+        }
         Action::Drained => "drained".to_owned(),
         Action::Count(_) => return None,
     })
--- a/crates/admission/tests/admission/world/checks.rs
+++ b/crates/admission/tests/admission/world/checks.rs
@@ -71,7 +71,7 @@
                     "the drain was reported as complete while requests run"
                 );
             }
-            Action::OfferDone { .. } | Action::Count(_) => {}
+            Action::OfferOutcomeAck { .. } | Action::Count(_) => {}
         }
     }
 
--- a/crates/admission/tests/admission/world/mod.rs
+++ b/crates/admission/tests/admission/world/mod.rs
@@ -8,7 +8,7 @@
 
 use usher_admission::{Event, Policy, Scheduler};
 use usher_types::{
-    Attempt, MethodRule, Offer, OfferDone, Outcome, Priority, Profile, Request, RequestId,
+    Attempt, MethodRule, Offer, OfferOutcomeAck, Outcome, Priority, Profile, Request, RequestId,
     RequestKey, Slots, Span, Time,
 };
 
@@ -192,7 +192,7 @@
             Step::Outcome { which, kind } => self.peer_outcome(which, kind),
             Step::Done(which) => {
                 if let Some(id) = pick(which, self.reported.keys().copied()) {
-                    self.send_event(Event::OfferDone(OfferDone { id }));
+                    self.send_event(Event::OfferOutcomeAck(OfferOutcomeAck { id }));
                 }
             }
             Step::Peers(a, b) => {
@@ -221,7 +221,7 @@
             self.reply(first, false, false);
             self.peer_outcome(first, 0);
             for id in self.reported.keys().copied().collect::<Vec<_>>() {
-                self.send_event(Event::OfferDone(OfferDone { id }));
+                self.send_event(Event::OfferOutcomeAck(OfferOutcomeAck { id }));
             }
             self.pass(Span::from_millis(20));
         }
--- a/crates/agent/src/agent_state.rs
+++ b/crates/agent/src/agent_state.rs
@@ -285,8 +285,8 @@
             AgentMessage::OfferOutcome(outcome) => {
                 self.on_request_event(admission::Event::OfferOutcome(outcome));
             }
-            AgentMessage::OfferDone(done) => {
-                self.on_request_event(admission::Event::OfferDone(done));
+            AgentMessage::OfferOutcomeAck(outcome_ack) => {
+                self.on_request_event(admission::Event::OfferOutcomeAck(outcome_ack));
             }
         }
     }
--- a/crates/agent/src/request_actions.rs
+++ b/crates/agent/src/request_actions.rs
@@ -62,7 +62,9 @@
             RequestAction::OfferOutcome { to, outcome } => {
                 self.send(to, AgentMessage::OfferOutcome(outcome));
             }
-            RequestAction::OfferDone { to, done } => self.send(to, AgentMessage::OfferDone(done)),
+            RequestAction::OfferOutcomeAck { to, outcome_ack } => {
+                self.send(to, AgentMessage::OfferOutcomeAck(outcome_ack))
+            }
             RequestAction::Drained => {
                 self.requests_drained = true;
                 self.report_drained();
--- a/crates/types/src/agent_message.rs
+++ b/crates/types/src/agent_message.rs
@@ -1,5 +1,5 @@
 use crate::{
-    Claim, ClaimReply, Completion, CompletionAck, Offer, OfferDone, OfferOutcome, OfferReply,
+    Claim, ClaimReply, Completion, CompletionAck, Offer, OfferOutcome, OfferOutcomeAck, OfferReply,
     Registration, RegistrationAck,
 };
 use serde::{Deserialize, Serialize};
@@ -26,5 +26,5 @@
     /// Outcome of an offered request that the receiver took.
     OfferOutcome(OfferOutcome),
     /// Answer to an `OfferOutcome`.
-    OfferDone(OfferDone),
+    OfferOutcomeAck(OfferOutcomeAck),
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -39,7 +39,7 @@
     Attempt, AttemptBudget, Bucket, Buckets, ByteCount, Generation, Incarnation, MessageId,
     Priority, Sequence, Slots, Version, Weight,
 };
-pub use offer::{Offer, OfferDone, OfferOutcome, OfferReply};
+pub use offer::{Offer, OfferOutcome, OfferOutcomeAck, OfferReply};
 pub use outcome::{Outcome, Refusal};
 pub use packet::{Body, Packet, Segment};
 pub use payload::Payload;
--- a/crates/types/src/offer.rs
+++ b/crates/types/src/offer.rs
@@ -57,7 +57,7 @@
 
 /// Acknowledges an `OfferOutcome`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OfferDone {
+pub struct OfferOutcomeAck {
     /// The request.
     pub id: RequestId,
 }
