--- a/crates/flows/src/table/receive.rs
+++ b/crates/flows/src/table/receive.rs
@@ -40,7 +40,7 @@
 
     fn route_unknown(&mut self, now: Time, mut relay: Relay) {
         let flow = relay.packet.flow;
-        let is_decided = matches!(relay.mode, RelayMode::Hunt | RelayMode::Probed);
+        let is_decided = matches!(relay.mode, RelayMode::Hunt | RelayMode::ProbeDone);
         match self.directory.find(now, &flow) {
             Some(entry) if self.overrides(&entry, &relay) => return self.follow(now, entry, relay),
             _ => {}
@@ -101,7 +101,7 @@
 
     fn decide(&mut self, now: Time, relay: Relay) {
         match relay.mode {
-            RelayMode::Probed => self.decide_alone(now, relay),
+            RelayMode::ProbeDone => self.decide_alone(now, relay),
             RelayMode::Hunt => self.decide_hunt(now, relay),
             RelayMode::Probe => self.forward_probe(now, relay),
             // Another agent considers this one the holder; the handover may not have arrived yet.
@@ -182,7 +182,7 @@
         }
         match self.next_earlier_owner(&relay, usize::from(relay.hop) + 1) {
             Some(hop) => self.forward_hop(hop, RelayMode::Probe, relay),
-            None => self.forward_hop(0, RelayMode::Probed, relay),
+            None => self.forward_hop(0, RelayMode::ProbeDone, relay),
         }
     }
 
