--- a/crates/burn/src/lib.rs
+++ b/crates/burn/src/lib.rs
@@ -1,10 +1,10 @@
 //! Counts request outcomes in sliding windows and computes the error-budget burn rate.
 
-mod burn;
+mod outcome_windows;
 mod ring;
 mod tally;
 mod window;
 
-pub use burn::Burn;
+pub use outcome_windows::OutcomeWindows;
 pub use tally::Tally;
 pub use window::{WINDOWS, Window};
--- a/crates/burn/src/burn.rs
+++ b/crates/burn/src/outcome_windows.rs
@@ -11,19 +11,19 @@
 /// stored nor handed over.
 ///
 /// ```
-/// use usher_burn::Burn;
+/// use usher_burn::OutcomeWindows;
 /// use usher_types::{Outcome, Time};
-/// let mut burn = Burn::new(Time::ZERO);
-/// burn.count(Time::ZERO, Time::ZERO, &Outcome::Unknown);
-/// assert!(burn.windows(Time::ZERO).iter().all(|window| window.tally.unknown == 1));
+/// let mut outcome_windows = OutcomeWindows::new(Time::ZERO);
+/// outcome_windows.record(Time::ZERO, Time::ZERO, &Outcome::Unknown);
+/// assert!(outcome_windows.windows(Time::ZERO).iter().all(|window| window.tally.unknown == 1));
 /// ```
 #[derive(Debug)]
-pub struct Burn {
+pub struct OutcomeWindows {
     started: Time,
     rings: [Ring; WINDOWS.len()],
 }
 
-impl Burn {
+impl OutcomeWindows {
     /// Creates empty windows that cover the time from `now` on.
     pub fn new(now: Time) -> Self {
         Self {
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Counts an outcome that is sent to its caller.
-    pub fn count(&mut self, now: Time, deadline: Time, outcome: &Outcome) {
+    /// Records an outcome that is sent to its caller.
+    pub fn record(&mut self, now: Time, deadline: Time, outcome: &Outcome) {
         for ring in &mut self.rings {
             ring.tally_at(now).count(now, deadline, outcome);
         }
@@ -44,10 +44,10 @@
         let rings = WINDOWS.iter().zip(&self.rings);
         rings
             .map(|((width, count), ring)| {
-                let window = *width * *count as u64;
+                let length = *width * *count as u64;
                 Window {
-                    window,
-                    covered: window.min(now.since(self.started)),
+                    length,
+                    covered: length.min(now.since(self.started)),
                     tally: ring.sum(now),
                 }
             })
--- a/crates/burn/src/window.rs
+++ b/crates/burn/src/window.rs
@@ -14,8 +14,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Window {
     /// Length of the window.
-    pub window: Span,
-    /// Part of the window in which the agent has run. It is shorter than `window` after a start.
+    #[serde(rename = "window")]
+    pub length: Span,
+    /// Part of the window in which the agent has run. It is shorter than `length` after a start.
     pub covered: Span,
     /// Outcomes within the window, accurate to the width of one bucket.
     pub tally: Tally,
--- a/crates/burn/tests/burn.rs
+++ b/crates/burn/tests/burn.rs
@@ -1,7 +1,7 @@
 //! Counting of outcomes in sliding windows.
 
 use serde::Deserialize;
-use usher_burn::{Burn, Tally};
+use usher_burn::{OutcomeWindows, Tally};
 use usher_types::{Outcome, Share, Span, Time};
 
 const DAY_SECONDS: u64 = 24 * 3_600;
@@ -27,8 +27,8 @@
     Time::ZERO + Span::from_secs(second)
 }
 
-fn requests(burn: &Burn, second: u64) -> Vec<u64> {
-    let windows = burn.windows(at(second));
+fn requests(outcome_windows: &OutcomeWindows, second: u64) -> Vec<u64> {
+    let windows = outcome_windows.windows(at(second));
     windows.iter().map(|w| w.tally.requests()).collect()
 }
 
@@ -61,32 +61,38 @@
 /// Guards against outcomes that never leave a window, or leave it early.
 #[test]
 fn outcomes_leave_each_window_when_it_has_passed() {
-    let mut burn = Burn::new(at(5_000));
-    burn.count(at(5_005), at(5_005), &Outcome::Unknown);
-    assert_eq!(requests(&burn, 5_005), [1, 1, 1]);
-    assert_eq!(requests(&burn, 5_005 + 290), [1, 1, 1]);
-    assert_eq!(requests(&burn, 5_005 + 300), [0, 1, 1]);
-    assert_eq!(requests(&burn, 5_005 + 3_600), [0, 0, 1]);
-    assert_eq!(requests(&burn, 5_005 + 29 * DAY_SECONDS), [0, 0, 1]);
-    assert_eq!(requests(&burn, 5_005 + 30 * DAY_SECONDS), [0, 0, 0]);
+    let mut outcome_windows = OutcomeWindows::new(at(5_000));
+    outcome_windows.record(at(5_005), at(5_005), &Outcome::Unknown);
+    assert_eq!(requests(&outcome_windows, 5_005), [1, 1, 1]);
+    assert_eq!(requests(&outcome_windows, 5_005 + 290), [1, 1, 1]);
+    assert_eq!(requests(&outcome_windows, 5_005 + 300), [0, 1, 1]);
+    assert_eq!(requests(&outcome_windows, 5_005 + 3_600), [0, 0, 1]);
+    assert_eq!(
+        requests(&outcome_windows, 5_005 + 29 * DAY_SECONDS),
+        [0, 0, 1]
+    );
+    assert_eq!(
+        requests(&outcome_windows, 5_005 + 30 * DAY_SECONDS),
+        [0, 0, 0]
+    );
 }
 
 /// Guards against a reused bucket that still holds counts of its previous time.
 #[test]
 fn a_reused_bucket_starts_empty() {
-    let mut burn = Burn::new(at(0));
+    let mut outcome_windows = OutcomeWindows::new(at(0));
     for second in [0, 300, 600] {
-        burn.count(at(second), at(second), &Outcome::Unknown);
-        assert_eq!(requests(&burn, second)[0], 1);
+        outcome_windows.record(at(second), at(second), &Outcome::Unknown);
+        assert_eq!(requests(&outcome_windows, second)[0], 1);
     }
 }
 
 /// Guards against a 30-day report that hides that the process started a minute ago.
 #[test]
 fn a_window_reports_the_time_that_it_covers() {
-    let burn = Burn::new(at(100));
+    let outcome_windows = OutcomeWindows::new(at(100));
     let covered = |second| -> Vec<Span> {
-        let windows = burn.windows(at(second));
+        let windows = outcome_windows.windows(at(second));
         windows.iter().map(|w| w.covered).collect()
     };
     assert_eq!(covered(160), [Span::from_secs(60); 3]);
--- a/crates/cli/src/burn_report.rs
+++ b/crates/cli/src/burn_report.rs
@@ -60,7 +60,7 @@
                 tally: Tally::default(),
                 ..window
             };
-            let sum = self.windows.entry(window.window).or_insert(empty);
+            let sum = self.windows.entry(window.length).or_insert(empty);
             sum.covered = sum.covered.max(window.covered);
             sum.tally += window.tally;
         }
@@ -68,7 +68,7 @@
 
     // The error budget applies to the longest window.
     fn budget_left(&self) -> Option<f64> {
-        let longest = self.windows.values().max_by_key(|window| window.window)?;
+        let longest = self.windows.values().max_by_key(|window| window.length)?;
         longest.tally.budget_left(self.objective)
     }
 
@@ -101,7 +101,7 @@
             tally.failed,
         ];
         let burn = tally.burn_rate(self.objective);
-        let mut row = vec![format_period(window.window), format_period(window.covered)];
+        let mut row = vec![format_period(window.length), format_period(window.covered)];
         row.extend(counts.iter().map(ToString::to_string));
         row.push(format_percent(tally.goodput()));
         row.push(burn.map_or_else(|| NO_VALUE.to_owned(), |rate| format!("{rate:.2}")));
@@ -122,7 +122,7 @@
     fn window_json(&self, window: &Window) -> Json {
         let tally = &window.tally;
         json!({
-            "window": window.window,
+            "window": window.length,
             "covered": window.covered,
             "requests": tally.requests(),
             "in_time": tally.in_time,
--- a/crates/runtime/src/agent/worker.rs
+++ b/crates/runtime/src/agent/worker.rs
@@ -6,7 +6,7 @@
 use async_std::channel::Sender;
 use serde_json::{Value, json};
 use usher_agent::{Action, AgentState, Event};
-use usher_burn::Burn;
+use usher_burn::OutcomeWindows;
 use usher_types::{
     AgentMessage, HostId, Message, Outcome, Payload, RequestId, RequestKey, Slots, Span, Time,
 };
@@ -46,7 +46,7 @@
     runs: Runs,
     // JSON-RPC ids and deadlines of the unanswered requests.
     ids: HashMap<RequestId, (Value, Time)>,
-    burn: Burn,
+    outcome_windows: OutcomeWindows,
     counts: Counts,
     next_report: Time,
 }
@@ -59,7 +59,7 @@
             links,
             runs: Runs::default(),
             ids: HashMap::new(),
-            burn: Burn::new(now()),
+            outcome_windows: OutcomeWindows::new(now()),
             counts: Counts::default(),
             next_report: Time::ZERO,
         }
@@ -137,7 +137,7 @@
             Action::Answer { id, outcome } => {
                 let (rpc_id, deadline) = self.ids.remove(&id).unzip();
                 if let Some(deadline) = deadline {
-                    self.burn.count(now(), deadline, &outcome);
+                    self.outcome_windows.record(now(), deadline, &outcome);
                 }
                 let rpc_id = rpc_id.unwrap_or_default();
                 let bytes = deliver::encode(rpc_id, outcome);
@@ -354,7 +354,7 @@
 
     fn status(&self) -> Value {
         let Some(summary) = self.agent.summary(now()) else {
-            return json!({ "burn": self.burn.windows(now()) });
+            return json!({ "burn": self.outcome_windows.windows(now()) });
         };
         json!({
             "flows": summary.flows,
@@ -363,7 +363,7 @@
             "records": summary.records,
             "awaiting": summary.unacknowledged,
             "requests": self.ids.len(),
-            "burn": self.burn.windows(now()),
+            "burn": self.outcome_windows.windows(now()),
             "counters": self.counts.totals(),
         })
     }
