--- a/crates/events/src/lib.rs
+++ b/crates/events/src/lib.rs
@@ -4,4 +4,4 @@
 mod rate_limit;
 
 pub use event::Event;
-pub use rate_limit::{limit, total};
+pub use rate_limit::{limit_per_second, occurrences};
--- a/crates/events/src/rate_limit.rs
+++ b/crates/events/src/rate_limit.rs
@@ -17,7 +17,7 @@
     /// Lines left out since the last line that was written.
     omitted: AtomicU64,
     /// Occurrences since the process started.
-    total: AtomicU64,
+    occurrences: AtomicU64,
 }
 
 impl EventCounters {
@@ -25,7 +25,7 @@
         Self {
             usage: AtomicU64::new(0),
             omitted: AtomicU64::new(0),
-            total: AtomicU64::new(0),
+            occurrences: AtomicU64::new(0),
         }
     }
 
@@ -54,9 +54,9 @@
 /// Lines beyond the limit are left out; the event's next line says how many.
 ///
 /// ```
-/// usher_events::limit(100);
+/// usher_events::limit_per_second(100);
 /// ```
-pub fn limit(lines: u32) {
+pub fn limit_per_second(lines: u32) {
     START.get_or_init(Instant::now);
     LINES_PER_SECOND.store(lines, Ordering::Relaxed);
 }
@@ -64,16 +64,16 @@
 /// Number of times that an event has happened since the process started.
 ///
 /// ```
-/// assert_eq!(usher_events::total(1), 0);
+/// assert_eq!(usher_events::occurrences(1), 0);
 /// ```
-pub fn total(code: u16) -> u64 {
-    counters(code).map_or(0, |counters| counters.total.load(Ordering::Relaxed))
+pub fn occurrences(code: u16) -> u64 {
+    counters(code).map_or(0, |counters| counters.occurrences.load(Ordering::Relaxed))
 }
 
 /// Counts an occurrence of an event, whether a line is written or not.
 pub(crate) fn count_event(code: u16) {
     if let Some(counters) = counters(code) {
-        counters.total.fetch_add(1, Ordering::Relaxed);
+        counters.occurrences.fetch_add(1, Ordering::Relaxed);
     }
 }
 
--- a/crates/events/tests/rate_limit.rs
+++ b/crates/events/tests/rate_limit.rs
@@ -28,7 +28,7 @@
 fn lines_beyond_the_limit_are_counted_and_reported() {
     log::set_logger(&MemoryLog).unwrap();
     log::set_max_level(LevelFilter::Info);
-    usher_events::limit(10);
+    usher_events::limit_per_second(10);
     let event = Event {
         code: 4_000,
         level: Level::Info,
@@ -47,5 +47,5 @@
         .filter_map(|line| line.rsplit_once("omitted=")?.1.parse::<u64>().ok())
         .sum();
     assert_eq!(omitted + lines.len() as u64, 1_001);
-    assert_eq!(usher_events::total(4_000), 1_001);
+    assert_eq!(usher_events::occurrences(4_000), 1_001);
 }
--- a/crates/node/src/logs.rs
+++ b/crates/node/src/logs.rs
@@ -53,7 +53,7 @@
             let _ended = finished.send(());
         })
         .map_err(|cause| failed(cause.to_string()))?;
-    usher_events::limit(LINES_PER_SECOND);
+    usher_events::limit_per_second(LINES_PER_SECOND);
     let (name, centre) = (settings.name.clone(), settings.centre.clone());
     let sink: Box<dyn Log> = Box::new(Sink {
         lines: lines.clone(),
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -176,7 +176,7 @@
         for event in EVENTS {
             let label = [("event", format!("MU-E{}", event.code))];
             let counter = self.events.get_or_create(&label);
-            let total = usher_events::total(event.code);
+            let total = usher_events::occurrences(event.code);
             counter.inc_by(total.saturating_sub(counter.get()));
         }
         let mut text = String::new();
