--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -5,7 +5,7 @@
 use indexmap::{IndexMap, IndexSet};
 use log::LevelFilter;
 use serde_ini::{Item, Parser};
-use usher_runtime::{AgentSettings, BalancerSettings, Common};
+use usher_runtime::{AgentSettings, BalancerSettings, CommonSettings};
 use usher_types::Slots;
 
 use crate::section::Section;
@@ -133,8 +133,8 @@
     }
 }
 
-fn common(process: &mut Section, metrics: &mut Section) -> Result<Common, SettingsError> {
-    Ok(Common {
+fn common(process: &mut Section, metrics: &mut Section) -> Result<CommonSettings, SettingsError> {
+    Ok(CommonSettings {
         centre: process.read(&key::CENTRE)?,
         store: process.read(&key::STORE)?,
         admin: process.read(&key::ADMIN)?,
@@ -146,7 +146,7 @@
 fn balancer(
     process: &mut Section,
     mut section: Section,
-    common: Common,
+    common: CommonSettings,
 ) -> Result<BalancerSettings, SettingsError> {
     let settings = BalancerSettings {
         common,
@@ -163,7 +163,7 @@
 fn agent(
     process: &mut Section,
     mut section: Section,
-    common: Common,
+    common: CommonSettings,
 ) -> Result<AgentSettings, SettingsError> {
     let settings = AgentSettings {
         common,
--- a/crates/runtime/src/control/core.rs
+++ b/crates/runtime/src/control/core.rs
@@ -12,7 +12,7 @@
 use usher_types::{Message, Peer, ServiceName, Time, Version};
 
 use super::{CatchUp, ConfigState, ControlEvent, follow, serve};
-use crate::{Common, RuntimeError, socket};
+use crate::{CommonSettings, RuntimeError, socket};
 use usher_clock::now;
 
 /// Configuration and membership, which the control threads of both roles share.
@@ -23,7 +23,7 @@
     pub(crate) state: ConfigState,
     /// Input of the control thread.
     pub(crate) events: Sender<ControlEvent>,
-    common: Common,
+    common: CommonSettings,
     socket: UdpSocket,
     membership: Membership,
     catch_up: CatchUp,
@@ -32,7 +32,7 @@
 impl Core {
     pub(crate) fn new(
         identity: Identity,
-        common: Common,
+        common: CommonSettings,
         socket: UdpSocket,
         events: Sender<ControlEvent>,
     ) -> Self {
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -16,6 +16,6 @@
 pub use error::RuntimeError;
 pub use event::EVENTS;
 pub use metric::{METRICS, Metric, MetricKind};
-pub use settings::{AgentSettings, BalancerSettings, Common};
+pub use settings::{AgentSettings, BalancerSettings, CommonSettings};
 pub use usher_clock::now;
 pub use usher_events::Event;
--- a/crates/runtime/src/settings.rs
+++ b/crates/runtime/src/settings.rs
@@ -4,7 +4,7 @@
 
 /// Settings that both roles have.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Common {
+pub struct CommonSettings {
     /// Data centre of the process.
     pub centre: DataCentre,
     /// TCP address of the platform's store.
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BalancerSettings {
     /// Settings that both roles have.
-    pub common: Common,
+    pub common: CommonSettings,
     /// Instance that the process runs on.
     pub instance: InstanceId,
     /// UDP address for packets from the fabric.
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AgentSettings {
     /// Settings that both roles have.
-    pub common: Common,
+    pub common: CommonSettings,
     /// Host that the process runs on.
     pub host: HostId,
     /// Service of the backend server.
