--- a/crates/members/src/event.rs
+++ b/crates/members/src/event.rs
@@ -18,7 +18,7 @@
         roster: Arc<Roster>,
     },
     /// A service was deleted.
-    Forget(ServiceName),
+    ServiceDeleted(ServiceName),
     /// The fleet of a data centre was read.
     Fleet {
         /// Data centre of the fleet.
--- a/crates/members/src/heartbeats.rs
+++ b/crates/members/src/heartbeats.rs
@@ -15,7 +15,7 @@
     pub(crate) fn beats(&self, now: Time) -> Vec<Action> {
         match &self.identity {
             Identity::Agent { host, centre, .. } => {
-                let Some(watch) = self.own_watch().filter(|_| self.own.life().beats()) else {
+                let Some(watch) = self.own_watch().filter(|_| self.own.lifecycle().beats()) else {
                     return Vec::new();
                 };
                 let others = watch.roster().members.iter();
@@ -57,7 +57,7 @@
         let Peer::Host(host) = &beat.from else {
             return None;
         };
-        let watch = self.own_watch().filter(|_| self.own.life().beats())?;
+        let watch = self.own_watch().filter(|_| self.own.lifecycle().beats())?;
         if beat.roster != watch.roster().version || self.synced.contains(host) {
             return None;
         }
@@ -77,7 +77,7 @@
     ) -> Option<BeatAck> {
         let roster = self.services.version(service);
         let renews = self.identity.service().is_some() && service.is_some();
-        let outdated = renews && (beat.roster < roster || !self.own.life().beats());
+        let outdated = renews && (beat.roster < roster || !self.own.lifecycle().beats());
         (!outdated).then(|| BeatAck {
             from: self.identity.peer(),
             roster,
--- a/crates/members/src/host_life.rs
+++ b/crates/members/src/host_lifecycle.rs
@@ -4,7 +4,7 @@
 
 /// This process's own host, in any state.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub enum HostLife {
+pub enum HostLifecycle {
     /// Not ready to join, or not a host at all.
     #[default]
     Unknown,
@@ -18,7 +18,7 @@
     Left(Change),
 }
 
-impl HostLife {
+impl HostLifecycle {
     /// The host is ready to join; a host that already announced itself is unchanged.
     pub(crate) fn join(self, id: HostId, member: Member) -> Self {
         match self {
--- a/crates/members/src/membership.rs
+++ b/crates/members/src/membership.rs
@@ -14,7 +14,7 @@
 use crate::own_host::OwnHost;
 use crate::services::Services;
 use crate::watch::Watch;
-use crate::{Action, Change, Event, HostLife, Identity, Proposal, Status};
+use crate::{Action, Change, Event, HostLifecycle, Identity, Proposal, Status};
 
 /// Time between two heartbeats.
 const BEAT: Span = Span::from_secs(1);
@@ -89,7 +89,7 @@
         match event {
             Event::Tick => return self.on_tick(now),
             Event::Roster { service, roster } => self.on_roster(now, &service, roster),
-            Event::Forget(service) => self.services.forget(&service),
+            Event::ServiceDeleted(service) => self.services.forget(&service),
             Event::Fleet { centre, fleet } => self.on_fleet(now, &centre, fleet),
             Event::Beat { source, beat } => return self.on_beat(now, source, &beat),
             Event::BeatAck(ack) => self.on_ack(now, &ack),
@@ -98,14 +98,14 @@
             Event::StoreUp => self.store_up = true,
             Event::Join(member) => {
                 if let Some(host) = self.identity.host().cloned() {
-                    self.advance(now, |life| life.join(host, member));
+                    self.advance(now, |lifecycle| lifecycle.join(host, member));
                 }
             }
             Event::Drain => {
                 self.state = HostState::Draining;
-                self.advance(now, HostLife::drain);
+                self.advance(now, HostLifecycle::drain);
             }
-            Event::Leave => self.advance(now, HostLife::leave),
+            Event::Leave => self.advance(now, HostLifecycle::leave),
         }
         Vec::new()
     }
@@ -117,15 +117,15 @@
     }
 
     /// The state of this process's own host.
-    pub fn life(&self) -> &HostLife {
-        self.own.life()
+    pub fn lifecycle(&self) -> &HostLifecycle {
+        self.own.lifecycle()
     }
 
     pub(crate) fn own_watch(&self) -> Option<&Watch> {
         self.services.get(self.identity.service()?)
     }
 
-    fn advance(&mut self, now: Time, step: impl FnOnce(HostLife) -> HostLife) {
+    fn advance(&mut self, now: Time, step: impl FnOnce(HostLifecycle) -> HostLifecycle) {
         let roster = self.own_watch().map(|watch| Arc::clone(watch.roster()));
         self.own.advance(now, roster.as_deref(), step);
     }
@@ -134,9 +134,9 @@
     fn follow_roster(&mut self, now: Time) {
         let roster = self.own_watch().map(|watch| Arc::clone(watch.roster()));
         self.own
-            .advance(now, roster.as_deref(), |life| match &roster {
-                Some(roster) => life.adopt(roster),
-                None => life,
+            .advance(now, roster.as_deref(), |lifecycle| match &roster {
+                Some(roster) => lifecycle.adopt(roster),
+                None => lifecycle,
             });
     }
 
@@ -229,7 +229,7 @@
 
     fn removal(&mut self, now: Time) -> Option<Action> {
         let host = self.identity.host()?;
-        if !self.store_up || !self.own.life().beats() {
+        if !self.store_up || !self.own.lifecycle().beats() {
             return None;
         }
         let watch = self.services.get_mut(self.identity.service()?)?;
--- a/crates/members/src/own_host.rs
+++ b/crates/members/src/own_host.rs
@@ -3,7 +3,7 @@
 use rand::{Rng, RngCore};
 use usher_types::{Roster, Span, Time};
 
-use crate::{Change, HostLife};
+use crate::{Change, HostLifecycle};
 
 /// Random delay of a proposal, so that hosts that start at once spread their writes.
 const JITTER: Span = Span::from_secs(1);
@@ -12,7 +12,7 @@
 
 /// This process's own host and when it next proposes its pending roster change.
 pub(crate) struct OwnHost {
-    life: HostLife,
+    lifecycle: HostLifecycle,
     random: Box<dyn RngCore + Send>,
     due: Option<Time>,
 }
@@ -20,14 +20,14 @@
 impl OwnHost {
     pub(crate) fn new(random: Box<dyn RngCore + Send>) -> Self {
         Self {
-            life: HostLife::default(),
+            lifecycle: HostLifecycle::default(),
             random,
             due: None,
         }
     }
 
-    pub(crate) fn life(&self) -> &HostLife {
-        &self.life
+    pub(crate) fn lifecycle(&self) -> &HostLifecycle {
+        &self.lifecycle
     }
 
     /// When the next proposal is due.
@@ -40,10 +40,10 @@
         &mut self,
         now: Time,
         roster: Option<&Roster>,
-        step: impl FnOnce(HostLife) -> HostLife,
+        step: impl FnOnce(HostLifecycle) -> HostLifecycle,
     ) {
-        self.life = step(std::mem::take(&mut self.life));
-        let pending = roster.and_then(|roster| self.life.pending(roster));
+        self.lifecycle = step(std::mem::take(&mut self.lifecycle));
+        let pending = roster.and_then(|roster| self.lifecycle.pending(roster));
         self.due = pending.map(|_| {
             let delay = self.random.random_range(0..JITTER.as_micros());
             now + Span::from_micros(delay)
@@ -53,7 +53,7 @@
     /// The change to propose, if one is due.
     pub(crate) fn proposal(&mut self, now: Time, roster: &Roster) -> Option<Change> {
         self.due.filter(|due| now >= *due)?;
-        let change = self.life.pending(roster);
+        let change = self.lifecycle.pending(roster);
         self.due = change.is_some().then_some(now + RETRY);
         change
     }
@@ -62,7 +62,7 @@
 impl fmt::Debug for OwnHost {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("OwnHost")
-            .field("life", &self.life)
+            .field("life", &self.lifecycle)
             .field("due", &self.due)
             .finish_non_exhaustive()
     }
--- a/crates/members/src/proposal.rs
+++ b/crates/members/src/proposal.rs
@@ -53,10 +53,14 @@
     /// use usher_types::{Roster, Version};
     /// let change = Change::Remove { hosts: vec![] };
     /// let proposal = Proposal { service: "namedesk".parse()?, base: Version::new(0), change };
-    /// assert!(proposal.succeed(&Roster::default(), None).unwrap().earlier.is_empty());
+    /// assert!(proposal.apply_with_history(&Roster::default(), None).unwrap().earlier.is_empty());
     /// # Ok::<(), usher_types::ParseError>(())
     /// ```
-    pub fn succeed(&self, current: &Roster, unsettled: Option<&[Version]>) -> Option<Roster> {
+    pub fn apply_with_history(
+        &self,
+        current: &Roster,
+        unsettled: Option<&[Version]>,
+    ) -> Option<Roster> {
         let mut changed = self.apply(current)?;
         let is_open = |past: &PastRoster| unsettled.is_none_or(|open| open.contains(&past.version));
         changed.earlier.retain(is_open);
--- a/crates/members/tests/life_cycle.rs
+++ b/crates/members/tests/life_cycle.rs
@@ -4,7 +4,7 @@
 
 use assert_matches::assert_matches;
 use common::{adopt, agent, at, beat, host, member, roster};
-use usher_members::{Action, Change, Event, HostLife, Membership, Proposal};
+use usher_members::{Action, Change, Event, HostLifecycle, Membership, Proposal};
 use usher_types::{HostState, Incarnation, Peer, Roster, Version};
 
 fn proposals(membership: &mut Membership, from: u64, to: u64) -> Vec<Proposal> {
@@ -42,10 +42,10 @@
     assert!(join.apply(&empty).is_none(), "the base version differs");
     let joined = write(&join, &others);
     adopt(&mut agent, at(6), &joined);
-    assert_matches!(agent.life(), HostLife::Serving(_));
+    assert_matches!(agent.lifecycle(), HostLifecycle::Serving(_));
 
     agent.handle(at(7), Event::Leave);
-    assert_matches!(agent.life(), HostLife::Serving(_));
+    assert_matches!(agent.lifecycle(), HostLifecycle::Serving(_));
     agent.handle(at(7), Event::Drain);
     let drain = proposals(&mut agent, 8, 10).remove(0);
     let drained = write(&drain, &joined);
@@ -86,7 +86,7 @@
     agent.handle(at(0), Event::Join(member(0)));
     adopt(&mut agent, at(0), &roster(1, 0..3));
     adopt(&mut agent, at(5), &roster(2, 1..3));
-    assert_matches!(agent.life(), HostLife::Announced(_));
+    assert_matches!(agent.lifecycle(), HostLifecycle::Announced(_));
     assert_matches!(proposals(&mut agent, 6, 8)[0].change, Change::Join { .. });
 }
 
@@ -97,7 +97,7 @@
     agent.handle(at(0), Event::Join(member(0)));
     adopt(&mut agent, at(0), &roster(2, 0..3));
     adopt(&mut agent, at(1), &roster(1, 1..3));
-    assert_matches!(agent.life(), HostLife::Serving(_));
+    assert_matches!(agent.lifecycle(), HostLifecycle::Serving(_));
 }
 
 /// Guards against a removal that takes out the successor of a dead process.
--- a/crates/runtime/src/agent/control.rs
+++ b/crates/runtime/src/agent/control.rs
@@ -241,7 +241,8 @@
         let service = self.settings.service.clone();
         let unsettled = self.unsettled.clone();
         task::spawn(async move {
-            let edit = |current: &Roster| proposal.succeed(current, unsettled.as_deref());
+            let edit =
+                |current: &Roster| proposal.apply_with_history(current, unsettled.as_deref());
             let written = edit_roster(&store, &service, edit).await;
             match (&written, &proposal.change) {
                 (Ok(Some(_)), Change::Remove { hosts }) => {
--- a/crates/runtime/src/balancer/control.rs
+++ b/crates/runtime/src/balancer/control.rs
@@ -212,7 +212,7 @@
         for service in deleted {
             self.tables.shift_remove(&service);
             self.suspected.shift_remove(&service);
-            self.advance(Event::Forget(service));
+            self.advance(Event::ServiceDeleted(service));
         }
     }
 
--- a/crates/scenario/src/agent_node.rs
+++ b/crates/scenario/src/agent_node.rs
@@ -8,7 +8,9 @@
 use usher_agent::{Action, AgentState, Event, Settings, View};
 use usher_config::{Cache, Object};
 use usher_members::Status;
-use usher_members::{Action as MemberAction, Event as MemberEvent, HostLife, Identity, Membership};
+use usher_members::{
+    Action as MemberAction, Event as MemberEvent, HostLifecycle, Identity, Membership,
+};
 use usher_types::{
     DataCentre, HostId, HostState, Member, Message, Outcome, Profile, Refusal, Request, RequestId,
     Roster, Span, Time, Version, Weight,
@@ -172,7 +174,9 @@
     }
 
     pub(crate) fn begin_drain(&mut self, now: Time, stop: bool) {
-        if self.phase == Phase::Running && matches!(self.membership.life(), HostLife::Unknown) {
+        if self.phase == Phase::Running
+            && matches!(self.membership.lifecycle(), HostLifecycle::Unknown)
+        {
             self.phase = Phase::Left { since: now };
             return;
         }
--- a/crates/scenario/src/simulation/watch.rs
+++ b/crates/scenario/src/simulation/watch.rs
@@ -115,7 +115,7 @@
         };
         let version = current.as_ref().map(|object| object.version);
         roster.version = version.unwrap_or_default();
-        let Some(changed) = proposal.succeed(&roster, unsettled) else {
+        let Some(changed) = proposal.apply_with_history(&roster, unsettled) else {
             return;
         };
         let value = Some(Value::Roster(changed.clone()));
