--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -107,16 +107,20 @@
 }
 
 fn pending_processes(state: &RolloutState) -> String {
-    let RolloutState::Waiting { lagging, unheard } = state else {
+    let RolloutState::Waiting {
+        lagging,
+        unreported,
+    } = state
+    else {
         return String::new();
     };
     let lagging = lagging
         .iter()
         .map(|(peer, version)| format!("\n  {peer} is at version {version}"));
-    let unheard = unheard
+    let unreported = unreported
         .iter()
         .map(|peer| format!("\n  {peer} does not answer"));
-    lagging.chain(unheard).collect()
+    lagging.chain(unreported).collect()
 }
 
 // Displays one fault a line.
--- a/crates/config/src/catalog.rs
+++ b/crates/config/src/catalog.rs
@@ -7,7 +7,7 @@
 
 /// A service in force with the profile it selects.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Entry {
+pub struct ServiceEntry {
     /// Name of the service.
     pub name: ServiceName,
     /// The service.
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Catalog {
     /// Services in force, by name.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<ServiceEntry>,
     /// Conflicts between objects, each resolved by the rules above.
     pub faults: Vec<ConfigError>,
 }
@@ -76,7 +76,7 @@
             });
             Profile::default()
         });
-        self.entries.push(Entry {
+        self.entries.push(ServiceEntry {
             name,
             service: service.clone(),
             profile,
--- a/crates/config/src/conflict.rs
+++ b/crates/config/src/conflict.rs
@@ -2,7 +2,7 @@
 
 use crate::{Change, Diff, Object};
 
-/// A write that was not made because its condition does not hold.
+/// A write whose condition does not hold in the store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Conflict {
     /// The change that was not made.
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -22,7 +22,7 @@
 mod write_id;
 
 pub use cache::{Adoption, Cache};
-pub use catalog::{Catalog, Entry};
+pub use catalog::{Catalog, ServiceEntry};
 pub use change::{Change, Condition, Write};
 pub use check::check;
 pub use conflict::Conflict;
--- a/crates/config/src/rollout.rs
+++ b/crates/config/src/rollout.rs
@@ -23,7 +23,7 @@
         /// Processes with an older version, and that version.
         lagging: Vec<(Peer, Version)>,
         /// Processes that have not reported.
-        unheard: Vec<Peer>,
+        unreported: Vec<Peer>,
     },
 }
 
@@ -123,19 +123,22 @@
     /// ```
     pub fn state(&self) -> RolloutState {
         let mut lagging = Vec::new();
-        let mut unheard = Vec::new();
+        let mut unreported = Vec::new();
         for (peer, report) in &self.reports {
             match report {
-                None => unheard.push(peer.clone()),
+                None => unreported.push(peer.clone()),
                 Some((_, revision)) if *revision < self.target => {
                     lagging.push((peer.clone(), *revision));
                 }
                 Some(_) => {}
             }
         }
-        if lagging.is_empty() && unheard.is_empty() {
+        if lagging.is_empty() && unreported.is_empty() {
             return RolloutState::InForce;
         }
-        RolloutState::Waiting { lagging, unheard }
+        RolloutState::Waiting {
+            lagging,
+            unreported,
+        }
     }
 }
--- a/crates/config/tests/lease.rs
+++ b/crates/config/tests/lease.rs
@@ -90,12 +90,12 @@
         });
         rollout.state()
     };
-    let waiting = |lagging: &[(&str, u64)], unheard: &[&str]| RolloutState::Waiting {
+    let waiting = |lagging: &[(&str, u64)], unreported: &[&str]| RolloutState::Waiting {
         lagging: lagging
             .iter()
             .map(|it| (peer(it.0), Version::new(it.1)))
             .collect(),
-        unheard: unheard.iter().map(|name| peer(name)).collect(),
+        unreported: unreported.iter().map(|name| peer(name)).collect(),
     };
     assert_eq!(report("one", 1, 8), waiting(&[("one", 8)], &["two"]));
     assert_eq!(report("one", 1, 9), waiting(&[], &["two"]));
--- a/crates/runtime/src/balancer/control.rs
+++ b/crates/runtime/src/balancer/control.rs
@@ -9,7 +9,7 @@
 use async_std::{future, task};
 use indexmap::IndexMap;
 use serde_json::{Value, json};
-use usher_config::{Entry, Kind, ObjectKey};
+use usher_config::{Kind, ObjectKey, ServiceEntry};
 use usher_members::{Action, Event, Identity, Status};
 use usher_routing::{Quarantine, Router, Table};
 use usher_types::{HostId, Incarnation, PastRoster, Peer, Roster, ServiceName, Time, Version};
@@ -188,7 +188,7 @@
             return;
         }
         self.forget_deleted();
-        let affected: Vec<Entry> = self.affected(changed).cloned().collect();
+        let affected: Vec<ServiceEntry> = self.affected(changed).cloned().collect();
         for entry in affected {
             self.rebuild(&entry);
         }
@@ -216,7 +216,7 @@
         }
     }
 
-    fn affected(&self, changed: &BTreeSet<ObjectKey>) -> impl Iterator<Item = &Entry> {
+    fn affected(&self, changed: &BTreeSet<ObjectKey>) -> impl Iterator<Item = &ServiceEntry> {
         self.core.state.services().filter(move |entry| {
             changed.iter().any(|key| match key.kind {
                 // A service that conflicted with the changed one becomes valid without a table.
@@ -231,7 +231,7 @@
         })
     }
 
-    fn rebuild(&mut self, entry: &Entry) {
+    fn rebuild(&mut self, entry: &ServiceEntry) {
         let service = &entry.name;
         let Some(roster) = self.core.state.roster(service) else {
             return;
--- a/crates/runtime/src/control/state.rs
+++ b/crates/runtime/src/control/state.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use indexmap::IndexMap;
-use usher_config::{Cache, Catalog, Entry, Kind, Object, ObjectKey, Value};
+use usher_config::{Cache, Catalog, Kind, Object, ObjectKey, ServiceEntry, Value};
 use usher_types::{Fleet, Peer, Roster, ServiceName, Version};
 
 use super::ObjectBatch;
@@ -13,7 +13,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct ConfigState {
     cache: Cache,
-    entries: IndexMap<ServiceName, Entry>,
+    entries: IndexMap<ServiceName, ServiceEntry>,
 }
 
 impl ConfigState {
@@ -92,12 +92,12 @@
     }
 
     /// All services in force, with their profiles.
-    pub(crate) fn services(&self) -> impl Iterator<Item = &Entry> {
+    pub(crate) fn services(&self) -> impl Iterator<Item = &ServiceEntry> {
         self.entries.values()
     }
 
     /// A service in force, with its profile.
-    pub(crate) fn service(&self, name: &ServiceName) -> Option<&Entry> {
+    pub(crate) fn service(&self, name: &ServiceName) -> Option<&ServiceEntry> {
         self.entries.get(name)
     }
 
