--- a/crates/members/src/status.rs
+++ b/crates/members/src/status.rs
@@ -7,7 +7,7 @@
     pub revision: Version,
     /// Estimated wait of a request that arrives now.
     pub wait: Span,
-    /// Measured strength of the backend server, relative to other hosts.
+    /// Measured capacity of the backend server, relative to other hosts.
     pub weight: Weight,
 }
 
