--- a/crates/agent/src/agent_state.rs
+++ b/crates/agent/src/agent_state.rs
@@ -276,7 +276,7 @@
                 self.on_ledger_event(LedgerEvent::Completion(completion));
             }
             AgentMessage::CompletionAck(completion_ack) => {
-                self.on_claimant_event(ClaimantEvent::CompletionAck(completion_ack))
+                self.on_claimant_event(ClaimantEvent::CompletionAck(completion_ack));
             }
             AgentMessage::Offer(offer) => self.on_offer(offer),
             AgentMessage::OfferReply(reply) => {
--- a/crates/agent/src/key_actions.rs
+++ b/crates/agent/src/key_actions.rs
@@ -51,7 +51,7 @@
     fn on_ledger_action(&mut self, action: LedgerAction) {
         match action {
             LedgerAction::ClaimReply { to, claim_reply } => {
-                self.send(to, AgentMessage::ClaimReply(claim_reply))
+                self.send(to, AgentMessage::ClaimReply(claim_reply));
             }
             LedgerAction::CompletionAck { to, completion_ack } => {
                 self.send(to, AgentMessage::CompletionAck(completion_ack));
--- a/crates/agent/src/request_actions.rs
+++ b/crates/agent/src/request_actions.rs
@@ -63,7 +63,7 @@
                 self.send(to, AgentMessage::OfferOutcome(outcome));
             }
             RequestAction::OfferOutcomeAck { to, outcome_ack } => {
-                self.send(to, AgentMessage::OfferOutcomeAck(outcome_ack))
+                self.send(to, AgentMessage::OfferOutcomeAck(outcome_ack));
             }
             RequestAction::Drained => {
                 self.requests_drained = true;
--- a/crates/dedupe/src/claimant.rs
+++ b/crates/dedupe/src/claimant.rs
@@ -85,13 +85,13 @@
                 self.request(key, request, &mut actions);
             }
             ClaimantEvent::ClaimReply(claim_reply) => {
-                self.claim_reply(now, claim_reply, &mut actions)
+                self.claim_reply(now, claim_reply, &mut actions);
             }
             ClaimantEvent::Report { key, outcome } => {
                 self.report(now, key, outcome, &mut actions);
             }
             ClaimantEvent::CompletionAck(completion_ack) => {
-                self.completion_ack(now, &completion_ack)
+                self.completion_ack(now, &completion_ack);
             }
             ClaimantEvent::Roster(roster) => self.adopt(now, roster),
             ClaimantEvent::Tick => {}
--- a/crates/dedupe/src/history.rs
+++ b/crates/dedupe/src/history.rs
@@ -110,9 +110,9 @@
         if transfer.roster > self.version() {
             return false;
         }
-        for entry in &transfer.coverage {
-            if entry.roster > self.pruned {
-                self.add_coverage(entry);
+        for coverage_entry in &transfer.coverage {
+            if coverage_entry.roster > self.pruned {
+                self.add_coverage(coverage_entry);
             }
         }
         // A pruned roster is not inserted again. Only `older_stopped` accounts for it, so
@@ -140,13 +140,16 @@
             owner: self.agent.clone(),
             path: vec![step.clone()],
         });
-        let passed = self.coverage.iter().filter(|entry| {
-            let received = entry.path.last().and_then(|last| self.roster(last.0));
+        let passed = self.coverage.iter().filter(|coverage_entry| {
+            let received = coverage_entry
+                .path
+                .last()
+                .and_then(|last| self.roster(last.0));
             received.is_none_or(|roster| self.may_have_moved(roster, &to))
         });
-        let passed = passed.cloned().map(|mut entry| {
-            entry.path.push(step.clone());
-            entry
+        let passed = passed.cloned().map(|mut coverage_entry| {
+            coverage_entry.path.push(step.clone());
+            coverage_entry
         });
         let coverage = own.chain(passed).collect();
         Transfer {
@@ -160,19 +163,22 @@
         }
     }
 
-    // Drops a coverage entry whose conditions include all those of another one. Otherwise every roster change
-    // multiplies the entries by the number of members, and a rolling restart of 7 hosts does not end.
-    fn add_coverage(&mut self, entry: &Coverage) {
-        let is_same = |other: &Coverage| other.roster == entry.roster && other.owner == entry.owner;
+    // Drops a coverage entry whose conditions include all those of another one. Otherwise every
+    // roster change multiplies the entries by the number of members, and a rolling restart of 7 hosts
+    // does not end.
+    fn add_coverage(&mut self, coverage_entry: &Coverage) {
+        let is_same = |other: &Coverage| {
+            other.roster == coverage_entry.roster && other.owner == coverage_entry.owner
+        };
         let implies =
             |few: &Coverage, many: &Coverage| few.path.iter().all(|s| many.path.contains(s));
         let mut known = self.coverage.iter().filter(|other| is_same(other));
-        if known.any(|other| implies(other, entry)) {
+        if known.any(|other| implies(other, coverage_entry)) {
             return;
         }
         self.coverage
-            .retain(|other| !is_same(other) || !implies(entry, other));
-        self.coverage.push(entry.clone());
+            .retain(|other| !is_same(other) || !implies(coverage_entry, other));
+        self.coverage.push(coverage_entry.clone());
     }
 
     /// Whether keys may have moved from this agent to another member since an earlier roster.
@@ -228,7 +234,8 @@
             }
         }
         let pruned = self.pruned;
-        self.coverage.retain(|entry| entry.roster > pruned);
+        self.coverage
+            .retain(|coverage_entry| coverage_entry.roster > pruned);
     }
 
     // A process that skipped rosters knows only that those missing from a complete roster history have
--- a/crates/flows/src/table.rs
+++ b/crates/flows/src/table.rs
@@ -152,7 +152,7 @@
             }
             Event::Reply { id, bytes } => self.reply(now, id, bytes),
             Event::Registration { from, registration } => {
-                self.on_registration(now, from, &registration)
+                self.on_registration(now, from, &registration);
             }
             Event::RegistrationAck {
                 from,
