--- a/crates/admission/src/job.rs
+++ b/crates/admission/src/job.rs
@@ -15,7 +15,7 @@
 /// Waits for a slot and has no permission to be dispatched.
 #[derive(Debug)]
 pub(crate) struct Queued {
-    /// When the key owner was asked, while its verdict is pending.
+    /// When the key owner was asked, while its reply is pending.
     pub(crate) claim: Option<Time>,
 }
 
@@ -35,7 +35,7 @@
     pub(crate) cancelled: bool,
 }
 
-/// Refused; the verdict on its claim decides which outcome the caller gets.
+/// Refused; the reply to its claim decides which outcome the caller gets.
 #[derive(Debug)]
 pub(crate) struct Refusing {
     pub(crate) refusal: Refusal,
@@ -110,7 +110,7 @@
 impl Job<Claimed> {
     pub(crate) fn dispatch(mut self, now: Time, check: Option<Time>) -> Job<Dispatched> {
         let budget = &mut self.task.request.budget;
-        *budget = usher_types::Budget::new(budget.get().saturating_sub(1));
+        *budget = usher_types::AttemptBudget::new(budget.get().saturating_sub(1));
         let state = Dispatched {
             start_by: self.state.start_by,
             started: now,
--- a/crates/agent/src/agent_state.rs
+++ b/crates/agent/src/agent_state.rs
@@ -5,7 +5,7 @@
 
 use usher_admission::{self as admission, Scheduler};
 use usher_dedupe::{
-    Agent, Claimant, ClaimantEvent, Ledger, LedgerEvent, Lineage, Origin, PACKET_LIFETIME,
+    Agent, Claimant, ClaimantEvent, Ledger, LedgerEvent, Origin, PACKET_LIFETIME, RosterHistory,
 };
 use usher_flows::{self as flows, FlowTable};
 use usher_types::{
@@ -107,7 +107,7 @@
             weight: machines.scheduler.weight(),
             records: machines.ledger.len(),
             unsettled: machines.ledger.unsettled(now),
-            awaiting: machines.ledger.awaiting(),
+            unacknowledged: machines.ledger.unacknowledged(),
         })
     }
 
@@ -190,7 +190,7 @@
         self.view = Some(view);
         self.on_flow_event(flows::Event::Roster(Arc::clone(&roster)));
         self.on_claimant_event(ClaimantEvent::Roster(Arc::clone(&roster)));
-        self.on_ledger_event(LedgerEvent::Roster(lineage(&roster)));
+        self.on_ledger_event(LedgerEvent::Roster(roster_history(&roster)));
         self.report_adoption();
         self.out.push(Action::InForce(revision));
     }
@@ -259,20 +259,25 @@
 
     fn on_agent_message(&mut self, from: SocketAddrV4, message: AgentMessage) {
         match message {
-            AgentMessage::Register(register) => {
-                self.on_flow_event(flows::Event::Register { from, register });
+            AgentMessage::Registration(registration) => {
+                self.on_flow_event(flows::Event::Registration { from, registration });
             }
-            AgentMessage::Registered(registered) => {
-                self.on_flow_event(flows::Event::Registered { from, registered });
+            AgentMessage::RegistrationAck(registration_ack) => {
+                self.on_flow_event(flows::Event::RegistrationAck {
+                    from,
+                    registration_ack,
+                });
             }
             AgentMessage::Claim(claim) => self.on_ledger_event(LedgerEvent::Claim(claim)),
-            AgentMessage::Verdict(verdict) => {
-                self.on_claimant_event(ClaimantEvent::Verdict(verdict));
+            AgentMessage::ClaimReply(claim_reply) => {
+                self.on_claimant_event(ClaimantEvent::ClaimReply(claim_reply));
             }
-            AgentMessage::Complete(complete) => {
-                self.on_ledger_event(LedgerEvent::Complete(complete));
+            AgentMessage::Completion(completion) => {
+                self.on_ledger_event(LedgerEvent::Completion(completion));
+            }
+            AgentMessage::CompletionAck(completion_ack) => {
+                self.on_claimant_event(ClaimantEvent::CompletionAck(completion_ack));
             }
-            AgentMessage::Completed(done) => self.on_claimant_event(ClaimantEvent::Completed(done)),
             AgentMessage::Offer(offer) => self.on_offer(offer),
             AgentMessage::OfferReply(reply) => {
                 self.on_request_event(admission::Event::OfferReply { from, reply });
@@ -280,8 +285,8 @@
             AgentMessage::OfferOutcome(outcome) => {
                 self.on_request_event(admission::Event::OfferOutcome(outcome));
             }
-            AgentMessage::OfferDone(done) => {
-                self.on_request_event(admission::Event::OfferDone(done));
+            AgentMessage::OfferOutcomeAck(outcome_ack) => {
+                self.on_request_event(admission::Event::OfferOutcomeAck(outcome_ack));
             }
         }
     }
@@ -322,15 +327,15 @@
     }
 }
 
-fn lineage(roster: &Arc<Roster>) -> Lineage {
+fn roster_history(roster: &Arc<Roster>) -> RosterHistory {
     let earlier = roster
         .earlier
         .iter()
         .map(PastRoster::to_roster)
         .map(Arc::new)
         .collect();
-    // The lineage is complete: every writer of a roster keeps the earlier ones that are not settled.
-    Lineage {
+    // The history is complete: every writer of a roster keeps the earlier ones that are not settled.
+    RosterHistory {
         roster: Arc::clone(roster),
         earlier,
         complete: true,
--- a/crates/capacity/src/sweeps/payload.rs
+++ b/crates/capacity/src/sweeps/payload.rs
@@ -1,9 +1,9 @@
 use std::io;
 
 use usher_types::{
-    AgentMessage, Attempt, Body, Budget, Decision, Generation, Hint, Message, MessageId, Offer,
-    Outcome, Packet, Payload, Priority, Register, Relay, RelayMode, RequestId, RequestKey, Segment,
-    Span, Verdict, Version,
+    AgentMessage, Attempt, AttemptBudget, Body, ClaimReply, Decision, Generation, Hint, Message,
+    MessageId, Offer, Outcome, Packet, Payload, Priority, Registration, Relay, RelayMode,
+    RequestId, RequestKey, Segment, Span, Version,
 };
 use usher_wire::{decode_message, decode_packet, encode_message, encode_packet};
 
@@ -37,11 +37,11 @@
         ("offer_bytes", offer(payload.clone())),
         (
             "verdict_answer_bytes",
-            verdict(Decision::Finished(Outcome::Answered(payload))),
+            claim_reply(Decision::Finished(Outcome::Answered(payload))),
         ),
         (
             "verdict_grant_bytes",
-            verdict(Decision::Granted(Span::from_millis(2_900))),
+            claim_reply(Decision::Granted(Span::from_millis(2_900))),
         ),
         (
             "claim_bytes",
@@ -49,7 +49,7 @@
         ),
         (
             "register_bytes",
-            agent_message(AgentMessage::Register(register())),
+            agent_message(AgentMessage::Registration(registration())),
         ),
         (
             "hint_bytes",
@@ -119,7 +119,7 @@
         left: Span::from_secs(2),
         attempt: Attempt::new(1),
         age: Span::from_millis(4),
-        budget: Budget::new(3),
+        budget: AttemptBudget::new(3),
         priority: Priority::new(200),
         body,
         wait: Span::from_millis(20),
@@ -127,16 +127,16 @@
     }))
 }
 
-fn verdict(decision: Decision) -> Message {
-    agent_message(AgentMessage::Verdict(Verdict {
+fn claim_reply(decision: Decision) -> Message {
+    agent_message(AgentMessage::ClaimReply(ClaimReply {
         key: RequestKey::new(u128::MAX / 3),
         sent: sample::START,
         decision,
     }))
 }
 
-fn register() -> Register {
-    Register {
+fn registration() -> Registration {
+    Registration {
         flow: sample::flow(7, 0),
         holder: sample::agent(1),
         roster: Version::new(40_000_000),
--- a/crates/dedupe/src/event.rs
+++ b/crates/dedupe/src/event.rs
@@ -1,15 +1,15 @@
 use std::sync::Arc;
 
 use usher_types::{
-    Attempt, BeatAck, Claim, Complete, Completed, HostId, Outcome, RequestKey, Roster, Span, Time,
-    Verdict, Version,
+    Attempt, BeatAck, Claim, ClaimReply, Completion, CompletionAck, HostId, Outcome, RequestKey,
+    Roster, Span, Time, Version,
 };
 
 use crate::Transfer;
 
 /// A newly adopted roster with the earlier ones whose owners may still grant keys.
 #[derive(Debug, Clone)]
-pub struct Lineage {
+pub struct RosterHistory {
     /// The adopted roster.
     pub roster: Arc<Roster>,
     /// The known earlier rosters, in any order.
@@ -23,11 +23,11 @@
 #[derive(Debug, Clone)]
 pub enum LedgerEvent {
     /// A roster was adopted; lower versions are ignored.
-    Roster(Lineage),
+    Roster(RosterHistory),
     /// A holder asks for a grant.
     Claim(Claim),
     /// A holder reports an outcome.
-    Complete(Complete),
+    Completion(Completion),
     /// A member acknowledged a heartbeat of this agent.
     Ack(BeatAck),
     /// A member has adopted a roster version, seen in a `Beat` or `BeatAck`.
@@ -58,7 +58,7 @@
 #[derive(Debug, Clone)]
 pub enum ClaimantEvent {
     /// A request needs a grant.
-    Ask {
+    Acquire {
         /// Key of the request.
         key: RequestKey,
         /// Transmission number of the request.
@@ -69,7 +69,7 @@
         deadline: Time,
     },
     /// The owner has answered a claim.
-    Verdict(Verdict),
+    ClaimReply(ClaimReply),
     /// A permitted request has ended; `NotRun` releases the key.
     Report {
         /// Key of the request.
@@ -78,7 +78,7 @@
         outcome: Outcome,
     },
     /// The owner has recorded an outcome.
-    Completed(Completed),
+    CompletionAck(CompletionAck),
     /// A roster was adopted; lower versions are ignored.
     Roster(Arc<Roster>),
     /// The timer has expired.
--- a/crates/dedupe/tests/dedupe/ledger.rs
+++ b/crates/dedupe/tests/dedupe/ledger.rs
@@ -5,10 +5,11 @@
 
 use serde::Deserialize;
 use usher_dedupe::{
-    Cover, Ledger, LedgerAction, LedgerEvent, Lineage, Origin, Record, State, Transfer, owner_of,
+    Coverage, Ledger, LedgerAction, LedgerEvent, Origin, Record, RosterHistory, State, Transfer,
+    owner_of,
 };
 use usher_types::{
-    Attempt, BeatAck, Claim, Complete, Decision, HostId, Outcome, PastRoster, Peer, RequestKey,
+    Attempt, BeatAck, Claim, Completion, Decision, HostId, Outcome, PastRoster, Peer, RequestKey,
     Roster, Span, Version,
 };
 
@@ -121,7 +122,7 @@
                 version,
                 earlier,
                 complete,
-            } => LedgerEvent::Roster(Lineage {
+            } => LedgerEvent::Roster(RosterHistory {
                 roster: self.roster(*version),
                 earlier: earlier
                     .iter()
@@ -159,7 +160,7 @@
                 holder,
                 sent,
                 outcome: text,
-            } => LedgerEvent::Complete(Complete {
+            } => LedgerEvent::Completion(Completion {
                 key,
                 holder: agent(holder).host,
                 incarnation: agent(holder).incarnation,
@@ -177,7 +178,7 @@
             } => {
                 let to = agent("h0#1");
                 let version = Version::new(*roster);
-                let cover = |(roster, owner): &(u64, String)| Cover {
+                let cover = |(roster, owner): &(u64, String)| Coverage {
                     roster: Version::new(*roster),
                     owner: agent(owner),
                     path: vec![(version, to.clone())],
@@ -196,7 +197,7 @@
                     from: agent(from),
                     to: to.clone(),
                     roster: version,
-                    covers: covers.iter().map(cover).collect(),
+                    coverage: covers.iter().map(cover).collect(),
                     rosters: rosters.iter().map(|past| self.past(*past)).collect(),
                     since: *since,
                     records: record.into_iter().collect(),
@@ -214,7 +215,7 @@
 
 fn describe(action: &LedgerAction) -> Option<String> {
     Some(match action {
-        LedgerAction::Verdict { verdict, .. } => match &verdict.decision {
+        LedgerAction::ClaimReply { claim_reply, .. } => match &claim_reply.decision {
             Decision::Granted(span) => format!("granted {span}"),
             Decision::Finished(Outcome::NotRun { .. }) => "refused".to_owned(),
             Decision::Finished(_) => "finished".to_owned(),
@@ -223,7 +224,7 @@
             Decision::Wait(_) => "wait".to_owned(),
             Decision::NotOwner(version) => format!("not owner {version}"),
         },
-        LedgerAction::Completed { .. } => "completed".to_owned(),
+        LedgerAction::CompletionAck { .. } => "completed".to_owned(),
         LedgerAction::Handover { to, transfer } => {
             format!("handover {to} {} records", transfer.records.len())
         }
--- a/crates/types/src/agent_message.rs
+++ b/crates/types/src/agent_message.rs
@@ -1,6 +1,6 @@
 use crate::{
-    Claim, Complete, Completed, Offer, OfferDone, OfferOutcome, OfferReply, Register, Registered,
-    Verdict,
+    Claim, ClaimReply, Completion, CompletionAck, Offer, OfferOutcome, OfferOutcomeAck, OfferReply,
+    Registration, RegistrationAck,
 };
 use serde::{Deserialize, Serialize};
 
@@ -8,17 +8,17 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AgentMessage {
     /// Registers a flow with the owner of its bucket.
-    Register(Register),
+    Registration(Registration),
     /// Answer to a registration.
-    Registered(Registered),
+    RegistrationAck(RegistrationAck),
     /// Asks the owner of a request key for permission to dispatch.
     Claim(Claim),
     /// Answer to a claim.
-    Verdict(Verdict),
+    ClaimReply(ClaimReply),
     /// Reports the outcome of a request whose claim was granted.
-    Complete(Complete),
-    /// Answer to a `Complete`.
-    Completed(Completed),
+    Completion(Completion),
+    /// Answer to a `Completion`.
+    CompletionAck(CompletionAck),
     /// Offers a queued request to another agent.
     Offer(Offer),
     /// Answer to an offer.
@@ -26,5 +26,5 @@
     /// Outcome of an offered request that the receiver took.
     OfferOutcome(OfferOutcome),
     /// Answer to an `OfferOutcome`.
-    OfferDone(OfferDone),
+    OfferOutcomeAck(OfferOutcomeAck),
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -17,7 +17,7 @@
 mod payload;
 mod profile;
 mod ratio;
-mod register;
+mod registration;
 mod relay;
 mod request;
 mod request_key;
@@ -29,23 +29,23 @@
 
 pub use agent_message::AgentMessage;
 pub use beat::{Beat, BeatAck, Peer};
-pub use claim::{Claim, Complete, Completed, Decision, Verdict};
+pub use claim::{Claim, ClaimReply, Completion, CompletionAck, Decision};
 pub use error::ParseError;
 pub use fleet::{Balancer, Fleet};
 pub use flow_id::FlowId;
 pub use message::Message;
 pub use name::{DataCentre, HostId, InstanceId, ProfileName, ServiceName};
 pub use number::{
-    Attempt, Bucket, Buckets, Budget, ByteCount, Generation, Incarnation, MessageId, Priority,
-    Sequence, Slots, Version, Weight,
+    Attempt, AttemptBudget, Bucket, Buckets, ByteCount, Generation, Incarnation, MessageId,
+    Priority, Sequence, Slots, Version, Weight,
 };
-pub use offer::{Offer, OfferDone, OfferOutcome, OfferReply};
+pub use offer::{Offer, OfferOutcome, OfferOutcomeAck, OfferReply};
 pub use outcome::{Outcome, Refusal};
 pub use packet::{Body, Packet, Segment};
 pub use payload::Payload;
-pub use profile::{ClassRule, Profile};
+pub use profile::{MethodRule, Profile};
 pub use ratio::{Rate, Share};
-pub use register::{Hint, Register, Registered};
+pub use registration::{Hint, Registration, RegistrationAck};
 pub use relay::{Relay, RelayMode};
 pub use request::{Request, RequestId};
 pub use request_key::RequestKey;
