--- a/crates/dedupe/src/claimant.rs
+++ b/crates/dedupe/src/claimant.rs
@@ -66,7 +66,8 @@
     /// let mut claimant = Claimant::new(agent, "127.0.0.1:7000".parse().unwrap());
     /// let key = RequestKey::new(1);
     /// let deadline = Time::ZERO;
-    /// let request = ClaimantEvent::Acquire { key, attempt: Attempt::new(1), age: Span::ZERO, deadline };
+    /// let (attempt, age) = (Attempt::new(1), Span::ZERO);
+    /// let request = ClaimantEvent::Acquire { key, attempt, age, deadline };
     /// let actions = claimant.handle(Time::ZERO, request);
     /// assert_eq!(actions, [ClaimantAction::Denied { key }]);
     /// # Ok::<(), usher_types::ParseError>(())
--- a/crates/dedupe/src/history.rs
+++ b/crates/dedupe/src/history.rs
@@ -164,8 +164,8 @@
     }
 
     // Drops a coverage entry whose conditions include all those of another one. Otherwise every
-    // roster change multiplies the entries by the number of members, and a rolling restart of 7 hosts
-    // does not end.
+    // roster change multiplies the entries by the number of members, and a rolling restart of 7
+    // hosts does not end.
     fn add_coverage(&mut self, coverage_entry: &Coverage) {
         let is_same = |other: &Coverage| {
             other.roster == coverage_entry.roster && other.owner == coverage_entry.owner
@@ -238,8 +238,9 @@
             .retain(|coverage_entry| coverage_entry.roster > pruned);
     }
 
-    // A process that skipped rosters knows only that those missing from a complete roster history have
-    // stopped by now, not when. A transfer from a member that saw them supplies the earlier time.
+    // A process that skipped rosters knows only that those missing from a complete roster history
+    // have stopped by now, not when. A transfer from a member that saw them supplies the earlier
+    // time.
     fn update_complete(&mut self, now: Time, newly: bool, roster_history: &RosterHistory) {
         let newest = roster_history
             .earlier
