--- a/crates/members/src/host.rs
+++ b/crates/members/src/host.rs
@@ -104,7 +104,7 @@
 }
 
 impl Host<Draining> {
-    /// The change that tells the other members; `None` if the roster already shows it.
+    /// The change that marks the host as draining; `None` if the roster already shows it.
     pub fn set_draining(&self, roster: &Roster) -> Option<Change> {
         let listed = roster.members.get(&self.id)?;
         let pending = listed.state != HostState::Draining && self.is_listed(roster);
--- a/crates/members/src/host_lifecycle.rs
+++ b/crates/members/src/host_lifecycle.rs
@@ -14,7 +14,7 @@
     Serving(Host<Serving>),
     /// Takes no new work.
     Draining(Host<Draining>),
-    /// Leaves the roster by this change.
+    /// Has drained; this change removes it from the roster.
     Left(Change),
 }
 
--- a/crates/members/src/proposal.rs
+++ b/crates/members/src/proposal.rs
@@ -62,8 +62,9 @@
         unsettled: Option<&[Version]>,
     ) -> Option<Roster> {
         let mut changed = self.apply(current)?;
-        let is_open = |past: &PastRoster| unsettled.is_none_or(|open| open.contains(&past.version));
-        changed.earlier.retain(is_open);
+        let is_unsettled =
+            |past: &PastRoster| unsettled.is_none_or(|versions| versions.contains(&past.version));
+        changed.earlier.retain(is_unsettled);
         if current.version > Version::default() && !current.members.is_empty() {
             let past = PastRoster {
                 version: current.version,
--- a/crates/members/tests/fleet.rs
+++ b/crates/members/tests/fleet.rs
@@ -10,6 +10,7 @@
 use usher_members::{Action, Event, FleetProposal, Identity, Membership};
 use usher_types::{Balancer, Fleet, Incarnation, InstanceId, Span, Time, Version};
 
+/// Seconds that each row is simulated for.
 const END: u64 = 45;
 const SEED: u128 = 7;
 
@@ -51,7 +52,9 @@
     }
 
     fn receives(&self, by: &InstanceId, of: &InstanceId, second: u64) -> bool {
-        let covers = |d: &Loss| d.by == *by && d.of == *of && (d.from..d.to).contains(&second);
+        let covers = |loss: &Loss| {
+            loss.by == *by && loss.of == *of && (loss.from..loss.to).contains(&second)
+        };
         !self.is_dead(of, second) && !self.losses.iter().any(covers)
     }
 
@@ -165,7 +168,8 @@
     fn write(&mut self, row: &Row, second: u64, proposal: &FleetProposal) {
         assert!(!row.store_is_down(second), "{}", row.guards);
         let changed = proposal.apply(&self.fleet);
-        let mut changed = changed.unwrap_or_else(|| panic!("{}: two writers", row.guards));
+        let mut changed = changed
+            .unwrap_or_else(|| panic!("{}: two balancers wrote the same removal", row.guards));
         for absent in self.fleet.balancers.keys() {
             if !changed.balancers.contains_key(absent) {
                 self.removed.insert(absent.clone(), second);
--- a/crates/members/tests/life_cycle.rs
+++ b/crates/members/tests/life_cycle.rs
@@ -137,7 +137,7 @@
     assert!(!acknowledges(&mut agent, 3));
 }
 
-/// Guards against a restarted process that renews a lease which its predecessor had given up.
+/// Guards against a restarted process that renews a lease that its predecessor had released.
 #[test]
 fn an_unlisted_process_acknowledges_no_lease() {
     let mut agent = agent(0);
--- a/crates/members/tests/properties.rs
+++ b/crates/members/tests/properties.rs
@@ -46,10 +46,11 @@
             for action in agent.handle(at(second), Event::Tick) {
                 let Action::Propose(proposal) = action else { continue };
                 prop_assert!(store_up);
-                let Change::Remove { hosts } = proposal.change else { panic!("no other change") };
+                let Change::Remove { hosts } = proposal.change else { panic!("a listed host proposes only removals") };
                 prop_assert!(hosts.len() * 2 <= MEMBERS);
                 for (removed, _) in hosts {
                     let index = (0..MEMBERS).find(|i| host(*i) == removed).unwrap();
+                    // 3 s of silence and 10 s of suspicion, with ticks 1 s apart.
                     prop_assert!(second - last_beats[index] >= 10 + 3 - 1, "{removed} at {second} s");
                 }
             }
