--- a/crates/config/src/object.rs
+++ b/crates/config/src/object.rs
@@ -50,7 +50,7 @@
     pub kind: Kind,
     /// Name within the kind.
     pub name: ObjectName,
-    /// Orders the values of the object; nothing else does.
+    /// Rises with each write; alone decides which value of the object is newer.
     pub version: Version,
     /// Write that made this version.
     pub write_id: WriteId,
--- a/crates/config/src/store_lease.rs
+++ b/crates/config/src/store_lease.rs
@@ -68,7 +68,7 @@
         Write { id, change }
     }
 
-    fn with<Next>(self, state: Next) -> StoreLease<Next> {
+    fn into_state<Next>(self, state: Next) -> StoreLease<Next> {
         StoreLease {
             name: self.name,
             own: self.own,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The write that takes the lease, if nobody can still hold it.
+    /// The write that takes the lease, if no process can still hold it.
     ///
     /// A lease whose version has not changed for its term plus the drift margin has lapsed.
     ///
@@ -167,7 +167,7 @@
     /// ```
     pub fn granted(self, sent: Time, version: Version) -> StoreLease<Held> {
         let until = sent + self.term;
-        self.with(Held { version, until })
+        self.into_state(Held { version, until })
     }
 }
 
@@ -214,7 +214,7 @@
         Ok(self.write(id, Condition::Version(version), true))
     }
 
-    /// The write that gives the lease up.
+    /// The write that releases the lease.
     ///
     /// # Errors
     /// `MU-2015` when the term has ended on this process's clock.
@@ -248,7 +248,7 @@
     #[must_use]
     pub fn renewed(self, sent: Time, version: Version) -> Self {
         let until = sent + self.term;
-        self.with(Held { version, until })
+        self.into_state(Held { version, until })
     }
 
     /// The lease ended, was released or was taken by another process.
@@ -263,6 +263,6 @@
     /// # Ok::<(), usher_config::ConfigError>(())
     /// ```
     pub fn lapse(self) -> StoreLease<Lapsed> {
-        self.with(Lapsed::default())
+        self.into_state(Lapsed::default())
     }
 }
--- a/crates/config/tests/changes.rs
+++ b/crates/config/tests/changes.rs
@@ -86,7 +86,7 @@
         .collect();
     assert_eq!(names, ["desk", "map"]);
     assert_eq!(catalog.faults[0].code(), "MU-2007");
-    // The fault does not go away by an unrelated edit of either service.
+    // An unrelated edit of either service still reports the fault.
     let row = json!({ "changes": [["service/desk", service("192.0.2.1:80", "same", 0)]] });
     assert_eq!(
         check(&cache, changes(&cache, &row)).unwrap_err()[0].code(),
--- a/crates/config/tests/lease.rs
+++ b/crates/config/tests/lease.rs
@@ -119,6 +119,6 @@
     assert_eq!(
         report("two", 1, 10),
         waiting(&[("two", 0)], &[]),
-        "an old report is late"
+        "a late report of an earlier incarnation is ignored"
     );
 }
