--- a/crates/runtime/src/agent/control.rs
+++ b/crates/runtime/src/agent/control.rs
@@ -218,7 +218,7 @@
         self.check_left();
     }
 
-    // A process that has left the roster still needs the next one to hand its records over.
+    // A process that has left the roster still needs newer rosters to hand its records over.
     fn view(&mut self, roster: &Arc<Roster>) -> Option<View> {
         let entry = self.core.state.service(&self.settings.service)?;
         let own = roster.members.get(&self.settings.host);
--- a/crates/runtime/src/agent/runs.rs
+++ b/crates/runtime/src/agent/runs.rs
@@ -5,17 +5,17 @@
 /// Assigns numbers to the backend server's runs and maps them to requests.
 #[derive(Debug, Default)]
 pub(crate) struct Runs {
-    next: u64,
+    last: u64,
     requests: HashMap<u64, RequestId>,
     numbers: HashMap<RequestId, u64>,
 }
 
 impl Runs {
     pub(crate) fn start(&mut self, id: RequestId) -> u64 {
-        self.next += 1;
-        self.requests.insert(self.next, id);
-        self.numbers.insert(id, self.next);
-        self.next
+        self.last += 1;
+        self.requests.insert(self.last, id);
+        self.numbers.insert(id, self.last);
+        self.last
     }
 
     pub(crate) fn number(&self, id: &RequestId) -> Option<u64> {
--- a/crates/runtime/src/agent/worker.rs
+++ b/crates/runtime/src/agent/worker.rs
@@ -330,7 +330,7 @@
         ))
     }
 
-    // Sends metrics, and tells the control thread the load that its heartbeats carry.
+    // Sends metrics, and sends the control thread the load that its heartbeats carry.
     fn report(&mut self) {
         let time = now();
         self.next_report = time + REPORT_INTERVAL;
--- a/crates/runtime/src/balancer/control.rs
+++ b/crates/runtime/src/balancer/control.rs
@@ -219,7 +219,7 @@
     fn affected(&self, changed: &BTreeSet<ObjectKey>) -> impl Iterator<Item = &ServiceEntry> {
         self.core.state.services().filter(move |entry| {
             changed.iter().any(|key| match key.kind {
-                // A service that conflicted with the changed one becomes valid without a table.
+                // The change may resolve a conflict of another service, which then lacks a table.
                 Kind::Service => {
                     let is_named = key.name.as_str() == entry.name.as_str();
                     is_named || !self.tables.contains_key(&entry.name)
@@ -326,9 +326,9 @@
     }
 }
 
-/// Wall-clock time in milliseconds.
+/// Incarnation of this process: wall-clock time in milliseconds.
 ///
-/// A later process on the same host has a higher incarnation.
+/// A later process on the same host or instance has a higher one.
 pub(crate) fn incarnation() -> Incarnation {
     let since = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
--- a/crates/runtime/src/balancer/fleet_entry.rs
+++ b/crates/runtime/src/balancer/fleet_entry.rs
@@ -71,7 +71,7 @@
 
     /// Removes silent balancers.
     ///
-    /// A write that conflicts with another is not repeated: the next heartbeat decides on the newer
+    /// A write that conflicts with another is not repeated: membership decides again on the newer
     /// fleet.
     pub(crate) async fn remove(self, proposal: FleetProposal) {
         let edit = |fleet: &mut Fleet| match proposal.apply(fleet) {
--- a/crates/runtime/src/balancer/traffic.rs
+++ b/crates/runtime/src/balancer/traffic.rs
@@ -13,7 +13,7 @@
 use crate::socket::{self, MAX_DATAGRAM_BYTES};
 use crate::{BalancerSettings, RuntimeError, event, metric};
 
-// Enough that two traffic threads seldom contend for the lock of one part of the hints.
+// Enough that two traffic threads seldom contend for the lock of one shard of the hints.
 const SHARDS: usize = 16;
 // Counters go to the metrics client once per this many packets, not for each packet.
 const FLUSH_PACKETS: u64 = 256;
@@ -75,7 +75,7 @@
             };
             match self.forward(socket, &buffer[..length]) {
                 Ok(()) => counts.forwarded += 1,
-                Err(reason) => counts.drop(&reason),
+                Err(reason) => counts.add_dropped(&reason),
             }
             if counts.total() >= FLUSH_PACKETS {
                 counts.flush(&self.metrics);
@@ -158,7 +158,7 @@
 }
 
 impl Counts {
-    fn drop(&mut self, reason: &Dropped) {
+    fn add_dropped(&mut self, reason: &Dropped) {
         match reason {
             Dropped::Malformed => self.malformed += 1,
             Dropped::NotRouted(DropReason::UnknownService) => self.unknown_service += 1,
--- a/crates/runtime/src/control/catch_up.rs
+++ b/crates/runtime/src/control/catch_up.rs
@@ -16,7 +16,7 @@
 }
 
 impl CatchUp {
-    /// Compares a peer's revision; asks the peer if this process stays behind.
+    /// Fetches objects from a newer peer after this process was behind for `PEER_DELAY`.
     pub(crate) fn on_revision(
         &mut self,
         now: Time,
--- a/crates/runtime/src/control/event.rs
+++ b/crates/runtime/src/control/event.rs
@@ -27,7 +27,7 @@
         weight: Weight,
         unsettled: Vec<Version>,
     },
-    /// The traffic thread has adopted a roster and holds no older one.
+    /// The traffic thread has this configuration version in force.
     InForce(Version),
     /// The traffic thread has handed over its flows and finished its requests.
     Drained,
--- a/crates/runtime/src/control/state.rs
+++ b/crates/runtime/src/control/state.rs
@@ -109,7 +109,7 @@
         self.cache.fleet(centre)
     }
 
-    // Concurrent edits can store conflicting services; the catalogue resolves the conflict in the
+    // Concurrent edits can store conflicting services; the catalog resolves the conflict in the
     // same way in every process.
     fn rebuild_catalog(&mut self) {
         let catalog = Catalog::new(&self.cache);
