--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -41,7 +41,7 @@
         cache.apply_since(self.after, self.through, self.objects)
     }
 
-    /// Creates an empty batch of the changes since the first version.
+    /// Creates an empty batch that starts at version 0.
     pub(crate) fn empty(through: Version) -> Self {
         Self {
             after: Version::default(),
--- a/crates/store/src/retry_client.rs
+++ b/crates/store/src/retry_client.rs
@@ -65,7 +65,7 @@
                     return Err(StoreError::Conflict(Box::new(conflict)));
                 }
                 Step::Retry(pending) => pending,
-                Step::ReadBack(_) => unreachable!("reading back ends with another step"),
+                Step::ReadBack(_) => unreachable!("reading back never returns another read-back"),
             };
         }
     }
