--- a/crates/flows/src/action.rs
+++ b/crates/flows/src/action.rs
@@ -23,7 +23,7 @@
         /// The complete message.
         bytes: Vec<u8>,
     },
-    /// Tells a balancer who holds a flow.
+    /// Tells a balancer which agent holds a flow.
     Hint {
         /// Address of the balancer.
         balancer: SocketAddrV4,
--- a/crates/flows/src/counter.rs
+++ b/crates/flows/src/counter.rs
@@ -9,7 +9,7 @@
     Closed,
     /// A flow without traffic expired.
     Expired,
-    /// A caller was told that no agent holds its flow.
+    /// A `Reset` was sent because no agent holds the flow.
     Reset,
     /// Dropped: the relay is for another service.
     WrongService,
--- a/crates/flows/src/directory.rs
+++ b/crates/flows/src/directory.rs
@@ -23,7 +23,7 @@
     Hunted,
     /// The holder registered the flow or acknowledged its handover.
     Confirmed,
-    /// The bucket's new owner asked for the flow and decides where it opens.
+    /// The bucket's new owner sent a probe for the flow and decides which agent opens it.
     Probed,
 }
 
@@ -39,7 +39,7 @@
         (now < entry.until).then_some(*entry)
     }
 
-    /// Sets the holder of a flow, a member as of roster version `roster`.
+    /// Sets the holder of a flow, which is a member under roster version `roster`.
     pub(crate) fn set(
         &mut self,
         flow: FlowId,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Drops entries whose holder is no longer a member under a roster version.
+    /// Drops entries whose holder is no longer a member under a newly adopted roster.
     ///
     /// A draining agent forwards a hunted `Open` to the next candidate and may leave before that
     /// candidate registers. A `Hunted` entry is therefore changed to name the next candidate.
--- a/crates/flows/src/flow.rs
+++ b/crates/flows/src/flow.rs
@@ -38,7 +38,7 @@
 
 /// A flow in any state, as stored in the table.
 #[derive(Debug)]
-pub(crate) enum Held {
+pub(crate) enum StoredFlow {
     Open(Flow<Open>),
     Moving(Flow<Moving>),
     Tombstone(Flow<Tombstone>),
--- a/crates/flows/src/inbox.rs
+++ b/crates/flows/src/inbox.rs
@@ -6,7 +6,7 @@
 
 use crate::{MAX_MESSAGE_BYTES, Ranges, SEGMENT_BYTES};
 
-// Limit per flow; their buffered bytes together are limited to `MAX_MESSAGE_BYTES`.
+// Incomplete messages per flow; their buffered bytes together are limited to `MAX_MESSAGE_BYTES`.
 const MAX_INCOMPLETE: usize = 8;
 
 /// Result of accepting a segment.
@@ -161,9 +161,9 @@
         let Some(partials) = &self.partial else {
             return false;
         };
-        let starts = !partials.contains_key(&segment.message);
+        let is_new = !partials.contains_key(&segment.message);
         let buffered: usize = partials.values().map(PartialMessage::buffered).sum();
-        (starts && partials.len() >= MAX_INCOMPLETE)
+        (is_new && partials.len() >= MAX_INCOMPLETE)
             || buffered + segment.bytes.len() > MAX_MESSAGE_BYTES
     }
 }
@@ -179,8 +179,8 @@
     }
 
     fn matches(&self, segment: &Segment) -> bool {
-        let own = (self.count, self.length, self.checksum);
-        own == (segment.count, segment.length, segment.checksum)
+        let expected = (self.count, self.length, self.checksum);
+        expected == (segment.count, segment.length, segment.checksum)
     }
 
     // Upper bound of the buffered bytes: every part but the last is full.
--- a/crates/flows/src/lib.rs
+++ b/crates/flows/src/lib.rs
@@ -1,7 +1,7 @@
 //! Flow table of an agent: accepting, forwarding, reassembly, directory and handover.
 //!
 //! [`FlowTable`] turns typed events into typed actions and never encodes a message. [`Inbox`] and
-//! [`Outbox`] each handle one direction of a flow; callers use them as well as agents.
+//! [`Outbox`] each handle one direction of a flow; agents and callers both use them.
 
 mod action;
 mod counter;
--- a/crates/flows/src/outbox.rs
+++ b/crates/flows/src/outbox.rs
@@ -7,8 +7,8 @@
 use crate::inbox::{checksum, segment_count};
 use crate::{FlowError, MAX_MESSAGE_BYTES, SEGMENT_BYTES};
 
-const MIN_DELAY: Span = Span::from_millis(200);
-const MAX_DELAY: Span = Span::from_secs(10);
+const MIN_RESEND_DELAY: Span = Span::from_millis(200);
+const MAX_RESEND_DELAY: Span = Span::from_secs(10);
 // Segments of one message in flight; keeps a large reply from overflowing a socket buffer.
 const WINDOW_SEGMENTS: usize = 32;
 
@@ -185,7 +185,7 @@
             bytes,
             in_flight: Vec::new(),
             queued: missing,
-            delay: MIN_DELAY,
+            delay: MIN_RESEND_DELAY,
             due: Time::ZERO,
         }
     }
@@ -194,10 +194,10 @@
         let before = self.in_flight.len();
         self.in_flight.retain(|sent| *sent != index);
         if self.in_flight.len() == before {
-            // Acknowledgements of segments that an earlier holder sent arrive after a handover.
-            self.queued.retain(|later| *later != index);
+            // After a handover, acknowledgements of the earlier holder's segments arrive here.
+            self.queued.retain(|unsent| *unsent != index);
         } else {
-            self.delay = MIN_DELAY;
+            self.delay = MIN_RESEND_DELAY;
         }
     }
 
@@ -220,7 +220,7 @@
     }
 
     fn retransmit(&mut self, now: Time, message: MessageId) -> Vec<Segment> {
-        self.delay = (self.delay * 2).min(MAX_DELAY);
+        self.delay = (self.delay * 2).min(MAX_RESEND_DELAY);
         self.due = now + self.delay;
         self.in_flight
             .iter()
--- a/crates/flows/src/ranges.rs
+++ b/crates/flows/src/ranges.rs
@@ -1,13 +1,13 @@
 use serde::{Deserialize, Serialize};
 use usher_types::MessageId;
 
-// Limits the memory of one flow; each gap is a message that has not been completed.
+// Limits the memory of one flow; each gap holds messages that are not completed yet.
 const MAX_RANGES: usize = 256;
 
 /// A bounded set of completed message numbers, kept as ascending closed ranges.
 ///
-/// Messages complete out of order until the slowest one completes, so a window limited by age
-/// would drop late messages. Any count of consecutive numbers takes one range.
+/// Messages complete out of order, so a window limited by age would drop late ones. Consecutive
+/// numbers take one range, however many there are.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Ranges(Vec<(u32, u32)>);
--- a/crates/flows/src/table.rs
+++ b/crates/flows/src/table.rs
@@ -15,7 +15,7 @@
 use self::membership::Membership;
 use self::registry::OtherHolder;
 use crate::directory::Directory;
-use crate::flow::{Flow, Held, Open, Tombstone};
+use crate::flow::{Flow, Open, StoredFlow, Tombstone};
 use crate::outgoing_transfer::OutgoingTransfer;
 use crate::timers::Timers;
 use crate::{Action, Counter, Event, FlowLocation, PACKET_LIFETIME, Settings};
@@ -25,7 +25,7 @@
 /// Bytes of one flow in the table: hash, id, state and two index slots.
 ///
 /// An idle flow also owns a heap block of 32 bytes with its completed message numbers.
-pub const FLOW_BYTES: usize = size_of::<(u64, FlowId, Held)>() + 2 * size_of::<usize>();
+pub const FLOW_BYTES: usize = size_of::<(u64, FlowId, StoredFlow)>() + 2 * size_of::<usize>();
 
 /// Flows that an agent holds or hands over, and holders of other flows.
 ///
@@ -49,10 +49,10 @@
     settings: Settings,
     membership: Membership,
     wait: Span,
-    held: IndexMap<FlowId, Held>,
+    held: IndexMap<FlowId, StoredFlow>,
     directory: Directory,
     resend_timers: Timers,
-    tombstones: Timers,
+    tombstone_timers: Timers,
     next_sweep: Time,
     /// Holders that the owners of the buckets have not acknowledged yet.
     registrations: IndexMap<FlowId, SocketAddrV4>,
@@ -104,7 +104,7 @@
             held: IndexMap::new(),
             directory: Directory::default(),
             resend_timers: Timers::default(),
-            tombstones: Timers::default(),
+            tombstone_timers: Timers::default(),
             next_sweep: Time::ZERO,
             registrations: IndexMap::new(),
             register_timers: Timers::default(),
@@ -196,7 +196,7 @@
             .min();
         let timers = [
             self.resend_timers.next(),
-            self.tombstones.next(),
+            self.tombstone_timers.next(),
             self.requeue_timers.next(),
             register,
             retry,
@@ -219,12 +219,12 @@
     /// # Ok::<(), usher_types::ParseError>(())
     /// ```
     pub fn flows(&self) -> usize {
-        let tombstone = |held: &&Held| matches!(held, Held::Tombstone(_));
+        let tombstone = |held: &&StoredFlow| matches!(held, StoredFlow::Tombstone(_));
         self.held.len() - self.held.values().filter(tombstone).count()
     }
 
     fn tick(&mut self, now: Time) {
-        while let Some(flow) = self.tombstones.pop(now) {
+        while let Some(flow) = self.tombstone_timers.pop(now) {
             self.held.swap_remove(&flow);
         }
         while let Some(flow) = self.resend_timers.pop(now) {
@@ -249,7 +249,7 @@
         let stale: Vec<FlowId> = self
             .held
             .iter()
-            .filter(|(_, held)| matches!(held, Held::Open(flow) if expired(flow)))
+            .filter(|(_, held)| matches!(held, StoredFlow::Open(flow) if expired(flow)))
             .map(|(flow, _)| *flow)
             .collect();
         for flow in stale {
@@ -261,7 +261,7 @@
 
     /// Ends an open flow and keeps a tombstone; late packets do not reopen it.
     fn end_flow(&mut self, now: Time, flow: FlowId) {
-        let Some(Held::Open(open)) = self.held.swap_remove(&flow) else {
+        let Some(StoredFlow::Open(open)) = self.held.swap_remove(&flow) else {
             return;
         };
         self.add_tombstone(now, flow, open.close());
@@ -275,8 +275,8 @@
 
     /// Keeps a tombstone and, while draining, queues it for the bucket's next owner.
     fn add_tombstone(&mut self, now: Time, flow: FlowId, tombstone: Flow<Tombstone>) {
-        self.held.insert(flow, Held::Tombstone(tombstone));
-        self.tombstones.set(flow, now + PACKET_LIFETIME);
+        self.held.insert(flow, StoredFlow::Tombstone(tombstone));
+        self.tombstone_timers.set(flow, now + PACKET_LIFETIME);
         if self.draining {
             self.closed.push(flow);
         }
@@ -284,7 +284,7 @@
 
     fn open_flow(&mut self, flow: &FlowId) -> Option<&mut Flow<Open>> {
         match self.held.get_mut(flow) {
-            Some(Held::Open(open)) => Some(open),
+            Some(StoredFlow::Open(open)) => Some(open),
             _ => None,
         }
     }
@@ -292,9 +292,9 @@
     /// Sends a packet of an open or closed flow to its caller.
     fn send(&mut self, flow: FlowId, body: Body) {
         let packet = match self.held.get_mut(&flow) {
-            Some(Held::Open(open)) => open.packet(flow, body),
-            Some(Held::Tombstone(tombstone)) => tombstone.packet(flow, body),
-            Some(Held::Moving(_)) | None => Packet {
+            Some(StoredFlow::Open(open)) => open.packet(flow, body),
+            Some(StoredFlow::Tombstone(tombstone)) => tombstone.packet(flow, body),
+            Some(StoredFlow::Moving(_)) | None => Packet {
                 flow,
                 sequence: Sequence::default(),
                 body,
--- a/crates/flows/src/table/handover.rs
+++ b/crates/flows/src/table/handover.rs
@@ -7,7 +7,7 @@
 
 use super::FlowTable;
 use crate::directory::Basis;
-use crate::flow::Held;
+use crate::flow::StoredFlow;
 use crate::outgoing_transfer::OutgoingTransfer;
 use crate::{Action, Counter, Transfer};
 
@@ -26,7 +26,7 @@
         let next = |flow: &FlowId| Some(membership.successor(flow, buckets, own)?.1.agent);
         self.directory.retain(roster.version, remains, next);
         self.handover_targets.retain(|_, holder| remains(*holder));
-        let gone: Vec<HostId> = self
+        let departed: Vec<HostId> = self
             .outgoing_transfers
             .keys()
             .filter(|host| {
@@ -37,7 +37,7 @@
             })
             .cloned()
             .collect();
-        for host in gone {
+        for host in departed {
             self.cancel_transfer(&host);
         }
         self.register_all(now);
@@ -51,13 +51,13 @@
         self.handover_queue.extend(self.held.keys());
         self.locations = self.directory.locations(now);
         let tombstones = self.held.iter();
-        let tombstones = tombstones.filter(|(_, held)| matches!(held, Held::Tombstone(_)));
+        let tombstones = tombstones.filter(|(_, held)| matches!(held, StoredFlow::Tombstone(_)));
         self.closed = tombstones.map(|(flow, _)| *flow).collect();
     }
 
-    /// Queues a flow or tombstone for handover if this agent must give it up.
+    /// Queues a flow or tombstone for handover if this agent must hand it over.
     pub(super) fn queue_handover(&mut self, flow: FlowId) {
-        if let Some(Held::Tombstone(_)) = self.held.get(&flow) {
+        if let Some(StoredFlow::Tombstone(_)) = self.held.get(&flow) {
             if self.draining {
                 self.closed.push(flow);
             }
@@ -124,7 +124,7 @@
             (&self.held, &self.handover_targets, self.draining);
         self.handover_queue.retain(|flow| {
             let is_ready =
-                matches!(held.get(flow), Some(Held::Open(open)) if open.view().unanswered() == 0);
+                matches!(held.get(flow), Some(StoredFlow::Open(open)) if open.view().unanswered() == 0);
             is_ready && (draining || handover_targets.contains_key(flow))
         });
         self.handover_queue.iter().copied().collect()
@@ -159,11 +159,11 @@
             self.resend_timers.clear(flow);
             self.orphaned.swap_remove(flow);
             let open = match self.held.swap_remove(flow) {
-                Some(Held::Open(open)) => open,
-                Some(Held::Moving(moving)) => moving.unfreeze(),
+                Some(StoredFlow::Open(open)) => open,
+                Some(StoredFlow::Moving(moving)) => moving.unfreeze(),
                 _ => continue,
             };
-            self.held.insert(*flow, Held::Moving(open.freeze(to)));
+            self.held.insert(*flow, StoredFlow::Moving(open.freeze(to)));
         }
         self.send_transfer(host.clone(), &outgoing);
         self.outgoing_transfers.insert(host, outgoing);
@@ -171,7 +171,7 @@
 
     fn send_transfer(&mut self, host: HostId, outgoing: &OutgoingTransfer) {
         let state = |flow: &FlowId| match self.held.get(flow) {
-            Some(Held::Moving(moving)) => Some(moving.export(*flow)),
+            Some(StoredFlow::Moving(moving)) => Some(moving.export(*flow)),
             _ => None,
         };
         let transfer = Transfer {
@@ -246,7 +246,7 @@
         let until = now + self.settings.idle;
         let roster = self.membership.version();
         for flow in flows {
-            let Some(Held::Moving(moving)) = self.held.get(&flow) else {
+            let Some(StoredFlow::Moving(moving)) = self.held.get(&flow) else {
                 continue;
             };
             let holder = moving.to();
@@ -261,8 +261,8 @@
 
     pub(super) fn unfreeze(&mut self, flow: FlowId) {
         match self.held.swap_remove(&flow) {
-            Some(Held::Moving(moving)) => {
-                self.held.insert(flow, Held::Open(moving.unfreeze()));
+            Some(StoredFlow::Moving(moving)) => {
+                self.held.insert(flow, StoredFlow::Open(moving.unfreeze()));
                 self.schedule_resend(flow);
             }
             Some(held) => {
@@ -278,10 +278,10 @@
         if !self.draining || self.drained || is_queued || !self.outgoing_transfers.is_empty() {
             return;
         }
-        let is_unfinished = |(flow, held): (&FlowId, &Held)| match held {
-            Held::Moving(_) => true,
-            Held::Tombstone(_) => self.requeue_timers.contains(flow),
-            Held::Open(open) => {
+        let is_unfinished = |(flow, held): (&FlowId, &StoredFlow)| match held {
+            StoredFlow::Moving(_) => true,
+            StoredFlow::Tombstone(_) => self.requeue_timers.contains(flow),
+            StoredFlow::Open(open) => {
                 let is_busy = open.view().unanswered() > 0 || !open.view().outbox.is_empty();
                 is_busy || self.successor(flow).is_some()
             }
--- a/crates/flows/src/table/membership.rs
+++ b/crates/flows/src/table/membership.rs
@@ -50,7 +50,7 @@
 
     /// Agent of the serving member that owns a flow's bucket.
     pub(super) fn owner(&self, flow: &FlowId, buckets: Buckets) -> Option<SocketAddrV4> {
-        let (_, member) = self.first(flow, buckets, |_| true)?;
+        let (_, member) = self.top_ranked(flow, buckets, |_| true)?;
         Some(member.agent)
     }
 
@@ -70,7 +70,7 @@
         buckets: Buckets,
         excluded: &HostId,
     ) -> Option<(&HostId, &Member)> {
-        self.first(flow, buckets, |host| host != excluded)
+        self.top_ranked(flow, buckets, |host| host != excluded)
     }
 
     /// Agents of the highest-ranked serving members for a flow's bucket.
@@ -106,7 +106,7 @@
         incarnation(before).is_none_or(|earlier| incarnation(&self.roster) == Some(earlier))
     }
 
-    fn first(
+    fn top_ranked(
         &self,
         flow: &FlowId,
         buckets: Buckets,
--- a/crates/flows/src/table/receive.rs
+++ b/crates/flows/src/table/receive.rs
@@ -4,12 +4,12 @@
 
 use super::FlowTable;
 use crate::directory::{Basis, Entry};
-use crate::flow::{Flow, Held};
+use crate::flow::{Flow, StoredFlow};
 use crate::{Action, Counter, PACKET_LIFETIME};
 
 // Number of current candidates that a balancer names.
 const MAX_CANDIDATES: usize = 3;
-const MAX_ROUTE: usize = 6;
+const MAX_ROUTE_AGENTS: usize = 6;
 
 impl FlowTable {
     pub(super) fn receive(&mut self, now: Time, relay: Relay) {
@@ -21,12 +21,12 @@
         }
         let flow = relay.packet.flow;
         match self.held.get(&flow) {
-            Some(Held::Open(_)) => self.serve(now, relay),
-            Some(Held::Moving(moving)) => {
+            Some(StoredFlow::Open(_)) => self.serve(now, relay),
+            Some(StoredFlow::Moving(moving)) => {
                 let to = moving.to();
                 self.forward_direct(to, relay);
             }
-            Some(Held::Tombstone(_)) => self.answer_late(flow, &relay.packet.body),
+            Some(StoredFlow::Tombstone(_)) => self.answer_late(flow, &relay.packet.body),
             None => self.route_unknown(now, relay),
         }
     }
@@ -55,9 +55,10 @@
 
     /// Whether a directory entry takes precedence over the mode of a relay.
     ///
-    /// An owner probes the earlier owners before it hunts, so their `Hunted` entries give way to
-    /// its hunt. The entry of a later owner takes precedence over a late hunt by an earlier owner.
-    /// The current owner's entry also does if an earlier owner hunts in answer to a probe.
+    /// An owner probes the earlier owners before it hunts, so its hunt takes precedence
+    /// over their `Hunted` entries. The entry of a later owner takes precedence over a late hunt by
+    /// an earlier owner, and so does the current owner's entry if an earlier owner hunts in answer
+    /// to a probe.
     fn overrides(&self, entry: &Entry, relay: &Relay) -> bool {
         match entry.basis {
             Basis::Confirmed => entry.holder != self.settings.agent,
@@ -131,7 +132,10 @@
             .candidates(&flow, self.settings.buckets, MAX_CANDIDATES);
         let current = route.len();
         for agent in relay.route {
-            if agent != self.settings.agent && !route.contains(&agent) && route.len() < MAX_ROUTE {
+            if agent != self.settings.agent
+                && !route.contains(&agent)
+                && route.len() < MAX_ROUTE_AGENTS
+            {
                 route.push(agent);
             }
         }
@@ -188,10 +192,10 @@
 
     /// Index in the route of the next earlier owner that is still a member.
     fn next_earlier_owner(&self, relay: &Relay, from: usize) -> Option<usize> {
-        let runs = |agent: SocketAddrV4| {
+        let is_other_member = |agent: SocketAddrV4| {
             agent != self.settings.agent && self.membership.host_at(agent).is_some()
         };
-        (from..relay.route.len()).find(|index| runs(relay.route[*index]))
+        (from..relay.route.len()).find(|index| is_other_member(relay.route[*index]))
     }
 
     /// Decides as the bucket's owner about a flow that no earlier owner knows.
@@ -226,7 +230,7 @@
         let Some(second) = self.next_candidate(&relay) else {
             return self.count(Counter::NoCandidate);
         };
-        // Long enough: the holder registers well before this entry expires.
+        // The holder registers well before this entry expires.
         let until = now + PACKET_LIFETIME;
         let flow = relay.packet.flow;
         self.directory
@@ -265,7 +269,7 @@
     fn accept(&mut self, now: Time, relay: &Relay) {
         let flow = relay.packet.flow;
         self.directory.remove(&flow);
-        self.held.insert(flow, Held::Open(Flow::new(now)));
+        self.held.insert(flow, StoredFlow::Open(Flow::new(now)));
         self.start_sweep(now);
         self.count(Counter::Accepted);
         self.send(flow, Body::Accept);
@@ -273,7 +277,7 @@
         self.register_own(now, flow);
     }
 
-    /// Tells the balancer who holds the flow, unless it sent the relay here itself.
+    /// Tells the balancer that this agent holds the flow, unless it sent the relay here directly.
     pub(super) fn hint(&mut self, relay: &Relay) {
         if relay.hop > 0 {
             self.actions.push(Action::Hint {
@@ -308,7 +312,7 @@
             relay.route = vec![self.settings.agent];
             relay.current = 0;
         }
-        if relay.route.len() >= MAX_ROUTE {
+        if relay.route.len() >= MAX_ROUTE_AGENTS {
             return self.count(Counter::HopLimit);
         }
         relay.route.push(to);
--- a/crates/flows/src/table/registry.rs
+++ b/crates/flows/src/table/registry.rs
@@ -4,7 +4,7 @@
 
 use super::FlowTable;
 use crate::directory::Basis;
-use crate::flow::Held;
+use crate::flow::StoredFlow;
 use crate::{Action, Counter};
 
 const RETRY_INTERVAL: Span = Span::from_millis(500);
@@ -12,7 +12,7 @@
 const BATCH_INTERVAL: Span = Span::from_millis(100);
 const BATCH_REGISTRATIONS: usize = 16;
 
-// Agents asked in a row; chains of handovers get no longer while one registration is retried.
+// Agents queried in a row; no longer chain of handovers arises while a registration is retried.
 const MAX_QUERIES: u8 = 4;
 
 /// Another agent that may hold a flow that is open here.
@@ -29,14 +29,14 @@
         self.register_holder(now, flow, self.settings.agent);
     }
 
-    /// Tells the bucket's owner who holds a flow and retries until it acknowledges.
+    /// Tells the bucket's owner which agent holds a flow and retries until it acknowledges.
     pub(super) fn register_holder(&mut self, now: Time, flow: FlowId, holder: SocketAddrV4) {
         let owner = self.owner_of(&flow);
         if owner.is_none_or(|owner| owner == self.settings.agent || owner == holder) {
             return self.unregister(&flow);
         }
         self.registrations.insert(flow, holder);
-        self.send_register(now, flow);
+        self.send_registration(now, flow);
     }
 
     /// Queues registrations of all open flows in other agents' buckets, at a limited rate.
@@ -44,7 +44,7 @@
         let open: Vec<FlowId> = self
             .held
             .iter()
-            .filter(|(_, held)| matches!(held, Held::Open(_)))
+            .filter(|(_, held)| matches!(held, StoredFlow::Open(_)))
             .map(|(flow, _)| *flow)
             .collect();
         for flow in open {
@@ -69,14 +69,14 @@
         }
         for _ in 0..BATCH_REGISTRATIONS {
             match self.register_timers.pop(now) {
-                Some(flow) => self.send_register(now, flow),
+                Some(flow) => self.send_registration(now, flow),
                 None => break,
             }
         }
         self.next_batch = now + BATCH_INTERVAL;
     }
 
-    fn send_register(&mut self, now: Time, flow: FlowId) {
+    fn send_registration(&mut self, now: Time, flow: FlowId) {
         let Some(holder) = self.registrations.get(&flow).copied() else {
             return;
         };
@@ -85,14 +85,14 @@
                 self.unregister(&flow);
             }
             Some(owner) => {
-                self.push_register(owner, flow, holder);
+                self.register_at(owner, flow, holder);
                 self.register_timers.set(flow, now + RETRY_INTERVAL);
             }
             None => self.register_timers.set(flow, now + RETRY_INTERVAL),
         }
     }
 
-    fn push_register(&mut self, to: SocketAddrV4, flow: FlowId, holder: SocketAddrV4) {
+    fn register_at(&mut self, to: SocketAddrV4, flow: FlowId, holder: SocketAddrV4) {
         let roster = self.membership.version();
         let registration = Registration {
             flow,
@@ -108,7 +108,7 @@
     /// owner keeps a directory entry until that expires.
     pub(super) fn retire_at_owner(&mut self, flow: FlowId) {
         match self.owner_of(&flow) {
-            Some(owner) if owner != self.settings.agent => self.push_register(owner, flow, owner),
+            Some(owner) if owner != self.settings.agent => self.register_at(owner, flow, owner),
             _ => {}
         }
     }
@@ -136,9 +136,9 @@
             return self.directory.retire(now, &flow, from);
         }
         let known_holder = match self.held.get(&flow) {
-            Some(Held::Open(_)) => self.settings.agent,
-            Some(Held::Moving(moving)) => moving.to(),
-            Some(Held::Tombstone(_)) => holder,
+            Some(StoredFlow::Open(_)) => self.settings.agent,
+            Some(StoredFlow::Moving(moving)) => moving.to(),
+            Some(StoredFlow::Tombstone(_)) => holder,
             None => self.record_holder(now, from, registration),
         };
         self.start_sweep(now);
@@ -180,7 +180,7 @@
     /// Handles the answer to a registration.
     ///
     /// The owner may not know yet that the agent it names has handed the flow over. That agent is
-    /// asked before this one hands over its state, or the flow would circulate between them.
+    /// asked before this one hands over its state; otherwise the flow would circulate between them.
     pub(super) fn on_registration_ack(
         &mut self,
         now: Time,
@@ -222,7 +222,7 @@
             query_count: query_count + 1,
         };
         self.other_holders.insert(flow, other_holder);
-        self.push_register(agent, flow, self.settings.agent);
+        self.register_at(agent, flow, self.settings.agent);
         // The owner is asked again later, whatever this agent answers.
         self.register_timers.set(flow, now + RETRY_INTERVAL);
     }
--- a/crates/flows/src/table/takeover.rs
+++ b/crates/flows/src/table/takeover.rs
@@ -4,7 +4,7 @@
 
 use super::{FlowTable, SWEEPS_PER_IDLE};
 use crate::directory::Basis;
-use crate::flow::{Flow, Held};
+use crate::flow::{Flow, StoredFlow};
 use crate::{Action, Counter, FlowLocation, FlowState, Transfer};
 
 const PASS_ON_DELAY: Span = Span::from_millis(500);
@@ -13,7 +13,7 @@
     /// Takes over flows and tombstones of another agent and acknowledges them.
     pub(super) fn take_over(&mut self, now: Time, transfer: Transfer) {
         let from = transfer.from;
-        // A repeated transfer must not restore flows that have moved on since the first one.
+        // A repeated transfer must not restore flows that were handed on since the first one.
         if let Some((number, flows)) = self.answered_transfers.get(&from)
             && *number == transfer.number
         {
@@ -49,17 +49,19 @@
     fn take_flow(&mut self, now: Time, from: SocketAddrV4, state: FlowState) -> bool {
         let flow = state.flow;
         match self.held.get(&flow) {
-            Some(Held::Tombstone(_)) => return true,
-            Some(Held::Moving(moving)) if moving.to() == from && self.settings.agent < from => {
+            Some(StoredFlow::Tombstone(_)) => return true,
+            Some(StoredFlow::Moving(moving))
+                if moving.to() == from && self.settings.agent < from =>
+            {
                 // Both agents hand the flow to each other; the one with the lower address keeps it.
                 self.remove_from_transfers(&flow);
                 self.unfreeze(flow);
             }
-            Some(Held::Moving(_)) => return false,
-            Some(Held::Open(_)) if self.handover_targets.get(&flow) == Some(&from) => {
+            Some(StoredFlow::Moving(_)) => return false,
+            Some(StoredFlow::Open(_)) if self.handover_targets.get(&flow) == Some(&from) => {
                 self.handover_targets.swap_remove(&flow);
             }
-            Some(Held::Open(_)) => {}
+            Some(StoredFlow::Open(_)) => {}
             None => self.adopt_flow(now, from, flow),
         }
         self.merge(now, state);
@@ -78,7 +80,7 @@
             self.handover_targets.insert(flow, entry.holder);
         }
         self.directory.remove(&flow);
-        self.held.insert(flow, Held::Open(Flow::new(now)));
+        self.held.insert(flow, StoredFlow::Open(Flow::new(now)));
         self.start_sweep(now);
         self.count(Counter::TakenOver);
         self.register_own(now, flow);
--- a/crates/flows/tests/interleavings.rs
+++ b/crates/flows/tests/interleavings.rs
@@ -30,6 +30,7 @@
     Learn(usize),
 }
 
+// `via` selects the balancer that a packet or step goes through.
 fn step() -> impl Strategy<Value = Step> {
     let any = 0_usize..1_000;
     prop_oneof![
--- a/crates/flows/tests/net/mod.rs
+++ b/crates/flows/tests/net/mod.rs
@@ -132,9 +132,9 @@
         let Some(table) = self.tables.get_mut(index).and_then(Option::as_mut) else {
             return;
         };
-        let mut receiver = None;
+        let mut sender = None;
         if let Event::Handover(transfer) = &event {
-            receiver = Some(index_of(transfer.from));
+            sender = Some(index_of(transfer.from));
         }
         for action in table.handle(now, event) {
             match action {
@@ -173,7 +173,7 @@
                         .push_back(Message::Handover(to, host, index, transfer));
                 }
                 Action::TookOver { flows } => {
-                    let to = receiver.expect("only a handover is answered");
+                    let to = sender.expect("`TookOver` only answers a handover");
                     self.wire
                         .push_back(Message::TookOver(to, host(index), flows));
                 }
@@ -309,7 +309,7 @@
         }
     }
 
-    /// Drops one message; the sender of a handover is told that it failed.
+    /// Drops one message; the sender of a lost handover or answer gets `HandoverFailed`.
     pub fn lose(&mut self, message: Message) {
         match message {
             Message::Handover(_, host, from, _) => self.wire.push_back(Message::Failed(from, host)),
@@ -402,7 +402,10 @@
             trace.push(message.kind());
             self.arrive(balancer, message);
         }
-        panic!("messages circulate: {:?}", &trace[trace.len() - 20..]);
+        panic!(
+            "messages still circulate after 5000 deliveries, the last ones: {:?}",
+            &trace[trace.len() - 20..]
+        );
     }
 
     pub fn held(&self) -> usize {
--- a/crates/flows/tests/segments.rs
+++ b/crates/flows/tests/segments.rs
@@ -10,9 +10,10 @@
 // Guards against growth of an idle flow; a fleet holds 330 million of them.
 #[test]
 fn an_idle_flow_fits_200_bytes() {
-    const DONE_BLOCK: usize = 32 + 16;
+    // Heap block of the completed ranges, and the allocator's overhead.
+    const DONE_BLOCK_BYTES: usize = 32 + 16;
     assert_eq!(FLOW_BYTES, 112);
-    const { assert!(FLOW_BYTES + DONE_BLOCK <= 200) };
+    const { assert!(FLOW_BYTES + DONE_BLOCK_BYTES <= 200) };
 }
 
 // Guards against endless retransmission of a message that no peer accepts.
@@ -87,6 +88,7 @@
                 faults.next();
                 continue;
             };
+            // 1 duplicates a segment; until 60 s, 2 loses it and 3 loses its acknowledgement.
             let fault = faults.next().unwrap();
             let (message, index) = (segment.message, segment.index);
             if fault == 1 {
