--- a/crates/dedupe/src/action.rs
+++ b/crates/dedupe/src/action.rs
@@ -88,7 +88,7 @@
     Settled {
         /// Key of the request.
         key: RequestKey,
-        /// What to tell the caller.
+        /// Outcome to report to the caller.
         outcome: Outcome,
     },
     /// The key is claimed already; `Settled` follows by the deadline.
--- a/crates/dedupe/src/claimant.rs
+++ b/crates/dedupe/src/claimant.rs
@@ -185,7 +185,7 @@
                 self.pause(now, key, request, pause);
             }
             Decision::Wait(_) if now + RETRY_DELAY >= request.deadline => {
-                self.give_up(now, key, request, actions);
+                self.stop_claiming(now, key, request, actions);
             }
             // Handed-over records can end the wait much earlier than the owner's estimate.
             Decision::Wait(span) => self.pause(now, key, request, span.min(RETRY_DELAY)),
@@ -225,7 +225,7 @@
         request.phase = Phase::Reporting {
             sent,
             outcome,
-            give_up: now + RUN_LIMIT,
+            report_until: now + RUN_LIMIT,
         };
         request.has_waiter = false;
         request.pause = RESEND_DELAY;
@@ -268,7 +268,7 @@
         while let Some((key, request)) = self.requests.take_due(now) {
             match request.phase.clone() {
                 Phase::Pausing | Phase::Claiming(_) if request.deadline <= now => {
-                    self.give_up(now, key, request, actions);
+                    self.stop_claiming(now, key, request, actions);
                 }
                 Phase::Pausing => self.claim(now, key, request, actions),
                 Phase::Claiming(claim) if now - claim.sent >= CLAIM_LIFETIME => {
@@ -286,9 +286,9 @@
                 Phase::Reporting {
                     sent,
                     outcome,
-                    give_up,
+                    report_until,
                 } => {
-                    if give_up <= now {
+                    if report_until <= now {
                         self.requests.put(key, request);
                         self.finish(now, key, outcome);
                     } else {
@@ -380,7 +380,7 @@
     }
 
     // The owner may have recorded a grant whose reply was lost, so the grant is released.
-    fn give_up(
+    fn stop_claiming(
         &mut self,
         now: Time,
         key: RequestKey,
--- a/crates/dedupe/src/eligibility.rs
+++ b/crates/dedupe/src/eligibility.rs
@@ -7,11 +7,11 @@
 /// Whether a key without a conflicting record may be granted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Eligibility {
-    /// It may, for the given rest of the lease.
+    /// The key may be granted, for the given rest of the lease.
     Grantable(Span),
-    /// Not yet; to be claimed again after the given time.
+    /// The key cannot be granted yet; claim it again after the given time.
     Wait(Span),
-    /// An earlier owner may have granted it.
+    /// An earlier owner may have granted the key.
     Stale,
 }
 
--- a/crates/dedupe/src/event.rs
+++ b/crates/dedupe/src/event.rs
@@ -14,8 +14,8 @@
     pub roster: Arc<Roster>,
     /// The known earlier rosters, in any order.
     pub earlier: Vec<Arc<Roster>>,
-    /// `earlier` holds the roster that this one replaced, and every other one that some process
-    /// still reports as unsettled.
+    /// Whether `earlier` holds the roster that this one replaced, and every other one that some
+    /// process still reports as unsettled.
     pub complete: bool,
 }
 
@@ -43,7 +43,7 @@
     Takeover(Transfer),
     /// An agent has taken over the records sent to it.
     TakeoverAcked {
-        /// The agent that has them.
+        /// The agent that took them over.
         from: HostId,
         /// `roster` of the transfer.
         roster: Version,
--- a/crates/dedupe/src/handover.rs
+++ b/crates/dedupe/src/handover.rs
@@ -57,7 +57,7 @@
     /// Transfers whose first transmission or retransmission is due.
     ///
     /// A retransmission repeats the times of the first one, so the receiver keeps records longer and
-    /// takes the stop for later than it was. Both can only lead to more refusals.
+    /// assumes a later stop. Both can only lead to more refusals.
     pub(crate) fn transmit(&mut self, now: Time) -> Vec<LedgerAction> {
         let due = self.0.iter_mut().filter(|(_, pending)| pending.due <= now);
         due.map(|(host, pending)| {
--- a/crates/dedupe/src/history.rs
+++ b/crates/dedupe/src/history.rs
@@ -12,9 +12,9 @@
 /// Whether owners of a key under earlier rosters can still grant it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Predecessors {
-    /// Some can, until the given time if it is known.
+    /// Some owner still can, until the given time if it is known.
     Unsettled(Option<Time>),
-    /// None can since this time; `None` when all their grants are known.
+    /// No owner can since the given time; `None` when all their grants are known.
     Stopped(Option<Time>),
 }
 
@@ -73,19 +73,19 @@
         if self.current.is_some() && version < self.version() {
             return false;
         }
-        let newly = self
+        let is_newer = self
             .current
             .as_ref()
             .is_none_or(|roster| roster.version < version);
-        self.update_complete(now, newly, &roster_history);
-        if newly && let Some(previous) = self.current.replace(roster_history.roster) {
+        self.update_complete(now, is_newer, &roster_history);
+        if is_newer && let Some(previous) = self.current.replace(roster_history.roster) {
             self.insert_earlier(previous);
         }
         for roster in roster_history.earlier {
             self.insert_earlier(roster);
         }
         self.mark_stopped(now);
-        newly
+        is_newer
     }
 
     /// Records that a member has adopted a version.
@@ -99,8 +99,8 @@
 
     /// Treats all rosters up to a version as stopped after the length of a lease.
     pub(crate) fn confirm(&mut self, now: Time, version: Version) {
-        let gone = |earlier: &&mut EarlierRoster| earlier.roster.version <= version;
-        for earlier in self.earlier.iter_mut().filter(gone) {
+        let is_confirmed = |earlier: &&mut EarlierRoster| earlier.roster.version <= version;
+        for earlier in self.earlier.iter_mut().filter(is_confirmed) {
             earlier.stopped.get_or_insert(now + upper_bound(LEASE));
         }
     }
@@ -116,7 +116,7 @@
             }
         }
         // A pruned roster is not inserted again. Only `older_stopped` accounts for it, so
-        // `older_stopped` must then stay.
+        // `older_stopped` must then not be lowered.
         for past in &transfer.rosters {
             self.insert_earlier(Arc::new(past.to_roster()));
         }
@@ -240,7 +240,7 @@
 
     // A process that skipped rosters knows only that those missing from a complete roster history have
     // stopped by now, not when. A transfer from a member that saw them supplies the earlier time.
-    fn update_complete(&mut self, now: Time, newly: bool, roster_history: &RosterHistory) {
+    fn update_complete(&mut self, now: Time, is_newer: bool, roster_history: &RosterHistory) {
         let newest = roster_history
             .earlier
             .iter()
@@ -248,7 +248,7 @@
             .max();
         let linked = match &self.current {
             None => newest.is_none() && self.origin == Origin::Created,
-            Some(current) if newly => self.complete && newest == Some(current.version),
+            Some(current) if is_newer => self.complete && newest == Some(current.version),
             Some(_) => self.complete,
         };
         let complete = linked || (roster_history.complete && newest.is_some());
@@ -273,13 +273,16 @@
         let current = self.version();
         let adopted = &self.adopted;
         let own = &self.agent.host;
-        let moved = |host: &HostId, version: Version| {
+        let adopted_newer = |host: &HostId, version: Version| {
             host == own && current > version || adopted.get(host).is_some_and(|v| *v > version)
         };
         for earlier in &mut self.earlier {
             let version = earlier.roster.version;
             let members = &earlier.roster.members;
-            let count = members.keys().filter(|host| moved(host, version)).count();
+            let count = members
+                .keys()
+                .filter(|host| adopted_newer(host, version))
+                .count();
             if count >= activation_quorum(members.len()) {
                 earlier.stopped.get_or_insert(now + upper_bound(LEASE));
             }
--- a/crates/dedupe/src/ledger.rs
+++ b/crates/dedupe/src/ledger.rs
@@ -248,7 +248,7 @@
                 if claim.attempt > *attempt {
                     return Some(self.grant(now, claim, claimer));
                 }
-                // Another copy of a transmission whose caller was told "not run" must not run.
+                // Another copy of a transmission that was answered "not run" must not run.
                 let refusal = Refusal::Cancelled;
                 Decision::Finished(Outcome::NotRun {
                     refusal,
--- a/crates/dedupe/src/origin.rs
+++ b/crates/dedupe/src/origin.rs
@@ -1,4 +1,4 @@
-/// How a process came to its first roster.
+/// How a process obtained its first roster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
     /// This process created the service's roster, so no earlier owner exists.
--- a/crates/dedupe/src/record.rs
+++ b/crates/dedupe/src/record.rs
@@ -24,7 +24,7 @@
         holder: Agent,
         /// Claims that it sent up to this time are ignored.
         sent: Time,
-        /// Latest transmission whose caller was told "not run"; this covers all earlier ones.
+        /// Latest transmission answered "not run"; it and all earlier ones are refused.
         attempt: Attempt,
     },
     /// The request has run.
--- a/crates/dedupe/src/request.rs
+++ b/crates/dedupe/src/request.rs
@@ -18,7 +18,7 @@
     Reporting {
         sent: Time,
         outcome: Outcome,
-        give_up: Time,
+        report_until: Time,
     },
     /// The request has run here, or may have run, and is not claimed again.
     Done(Outcome),
--- a/crates/dedupe/tests/dedupe/claimant.rs
+++ b/crates/dedupe/tests/dedupe/claimant.rs
@@ -22,7 +22,7 @@
 enum Step {
     Roster { version: u64, owner: HostId },
     Ask { age: Span, deadline: Span },
-    Verdict { sent: Span, decision: String },
+    Reply { sent: Span, decision: String },
     Report(String),
     Completed { sent: Span },
     Tick,
@@ -36,7 +36,7 @@
         "unknown" => Decision::Unknown,
         "wait" => Decision::Wait(Span::from_secs(2)),
         "not-owner" => Decision::NotOwner(Version::new(1)),
-        _ => panic!("decision {text}"),
+        _ => panic!("unknown decision {text}"),
     }
 }
 
@@ -52,7 +52,7 @@
             age: *age,
             deadline: START + *deadline,
         },
-        Step::Verdict {
+        Step::Reply {
             sent,
             decision: text,
         } => ClaimantEvent::ClaimReply(ClaimReply {
--- a/crates/dedupe/tests/dedupe/fixture.rs
+++ b/crates/dedupe/tests/dedupe/fixture.rs
@@ -16,7 +16,9 @@
 }
 
 pub fn index_of(host: &HostId) -> usize {
-    host.as_str()[1..].parse().expect("a host of these tests")
+    host.as_str()[1..]
+        .parse()
+        .expect("a host id of the form h<number>")
 }
 
 pub fn index(address: SocketAddrV4) -> usize {
@@ -66,6 +68,6 @@
             refusal: Refusal::Shed,
             retry: Span::ZERO,
         },
-        _ => panic!("outcome {text}"),
+        _ => panic!("unknown outcome {text}"),
     }
 }
--- a/crates/dedupe/tests/dedupe/ledger.rs
+++ b/crates/dedupe/tests/dedupe/ledger.rs
@@ -88,7 +88,7 @@
             attempt: Attempt::new(1),
         },
         "finished" => State::Finished(outcome("answered")),
-        _ => panic!("state {kind}"),
+        _ => panic!("unknown state {kind}"),
     }
 }
 
