--- a/crates/types/src/claim.rs
+++ b/crates/types/src/claim.rs
@@ -49,7 +49,7 @@
     Running,
     /// An earlier owner may have granted a claim for the key.
     Unknown,
-    /// The owner may not grant yet; ask again after this time.
+    /// The owner may not grant yet; claim again after this time.
     Wait(Span),
     /// The receiver does not own the key under its roster, whose version is given.
     NotOwner(Version),
--- a/crates/types/src/message.rs
+++ b/crates/types/src/message.rs
@@ -5,7 +5,7 @@
 /// A message between agents and balancers, in one UDP datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A caller's packet on its way to an agent.
+    /// A caller's packet, forwarded to an agent.
     Relay(Relay),
     /// Tells a balancer which agent holds a flow.
     Hint(Hint),
--- a/crates/types/src/offer.rs
+++ b/crates/types/src/offer.rs
@@ -11,7 +11,7 @@
     pub id: RequestId,
     /// The caller's idempotency key.
     pub key: RequestKey,
-    /// The request must not be repeated.
+    /// Whether the request must not be repeated.
     pub once: bool,
     /// Method name.
     pub method: String,
@@ -38,7 +38,7 @@
 pub struct OfferReply {
     /// The request offered.
     pub id: RequestId,
-    /// The receiver owns the request from now on.
+    /// Whether the receiver took over the request.
     pub taken: bool,
     /// Queue wait at the receiver.
     pub wait: Span,
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -2,7 +2,7 @@
 
 use crate::{Payload, Span};
 
-/// What a caller is told about a request.
+/// Outcome of a request, as reported to its caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// The backend server's whole answer.
@@ -35,7 +35,7 @@
     Draining,
     /// Its attempt budget is spent.
     Budget,
-    /// The key's owner cannot be asked or may not grant yet.
+    /// The key's owner is unknown or unreachable, or may not grant yet.
     NoOwner,
     /// The backend server cannot be reached.
     NoBackend,
--- a/crates/types/src/profile.rs
+++ b/crates/types/src/profile.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MethodRule {
-    /// The method's requests count as long, whatever their estimated running time.
+    /// Whether the method's requests count as long, whatever their estimated running time.
     pub long: bool,
     /// Precedence under overload; a higher value is refused later.
     pub priority: Priority,
@@ -37,7 +37,7 @@
     pub hunt: Span,
     /// Running time above which a request counts as long.
     pub short_bound: Span,
-    /// Deadline of requests that state none.
+    /// Deadline of requests that specify none.
     pub deadline: Span,
     /// Attempts of one request across all layers that retry.
     pub attempts: AttemptBudget,
--- a/crates/types/src/registration.rs
+++ b/crates/types/src/registration.rs
@@ -4,7 +4,7 @@
 
 use crate::{FlowId, Version};
 
-/// Tells the owner of a bucket that a flow of that bucket is held elsewhere.
+/// Tells the owner of a bucket that another agent holds a flow of that bucket.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registration {
     /// The flow.
@@ -20,7 +20,7 @@
 pub struct RegistrationAck {
     /// The flow.
     pub flow: FlowId,
-    /// Agent that the owner considers the holder.
+    /// Address of the agent that the sender considers the holder.
     pub holder: SocketAddrV4,
 }
 
--- a/crates/types/src/relay.rs
+++ b/crates/types/src/relay.rs
@@ -32,7 +32,7 @@
 pub enum RelayMode {
     /// The receiver decides as the owner of the flow's bucket.
     Owner,
-    /// The bucket's owner passed an `Open` on. The receiver accepts it unless it is draining.
+    /// The bucket's owner forwarded an `Open`. The receiver accepts it unless it is draining.
     Hunt,
     /// The bucket's new owner asks the earlier owners in turn. Unknown flows return to it.
     Probe,
--- a/crates/types/src/request.rs
+++ b/crates/types/src/request.rs
@@ -26,7 +26,7 @@
     pub id: RequestId,
     /// The caller's idempotency key, the same in every attempt.
     pub key: RequestKey,
-    /// The request must not be repeated.
+    /// Whether the request must not be repeated.
     pub once: bool,
     /// Method name; service times are estimated per method.
     pub method: String,
