--- a/crates/flows/src/outbox.rs
+++ b/crates/flows/src/outbox.rs
@@ -7,6 +7,7 @@
 use crate::inbox::{checksum, segment_count};
 use crate::{FlowError, MAX_MESSAGE_BYTES, SEGMENT_BYTES};
 
+// The delay doubles with each retransmission and restarts with each acknowledgement.
 const MIN_RESEND_DELAY: Span = Span::from_millis(200);
 const MAX_RESEND_DELAY: Span = Span::from_secs(10);
 // Segments of one message in flight; keeps a large reply from overflowing a socket buffer.
--- a/crates/flows/src/table.rs
+++ b/crates/flows/src/table.rs
@@ -20,6 +20,7 @@
 use crate::timers::Timers;
 use crate::{Action, Counter, Event, FlowLocation, PACKET_LIFETIME, Settings};
 
+// A flow expires at most a quarter of its idle time late.
 const SWEEPS_PER_IDLE: u64 = 4;
 
 /// Bytes of one flow in the table: hash, id, state and two index slots.
