--- a/crates/dedupe/src/handover.rs
+++ b/crates/dedupe/src/handover.rs
@@ -9,6 +9,7 @@
 struct Pending {
     transfer: Transfer,
     due: Time,
+    /// Time from the next transmission to the one after it.
     pause: Span,
 }
 
@@ -29,7 +30,8 @@
         self.0.keys()
     }
 
-    pub(crate) fn send(&mut self, now: Time, transfer: Transfer) {
+    /// Queues a transfer; `transmit` sends it.
+    pub(crate) fn enqueue(&mut self, now: Time, transfer: Transfer) {
         let host = transfer.to.host.clone();
         let due = now;
         let pause = RESEND_DELAY;
--- a/crates/dedupe/src/ledger.rs
+++ b/crates/dedupe/src/ledger.rs
@@ -193,7 +193,7 @@
             if to != self.agent && (self.history.may_gain(&to) || !records.is_empty()) {
                 let mut transfer = self.history.transfer(now, to);
                 transfer.records = records;
-                self.handovers.send(now, transfer);
+                self.handovers.enqueue(now, transfer);
             }
         }
     }
--- a/crates/dedupe/src/request.rs
+++ b/crates/dedupe/src/request.rs
@@ -28,6 +28,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Request {
     pub(crate) attempt: Attempt,
+    /// Time since the caller's first attempt, as of `received`.
     pub(crate) age: Span,
     pub(crate) received: Time,
     pub(crate) deadline: Time,
@@ -38,7 +39,9 @@
     /// `sent` of the last claim, if one was sent.
     pub(crate) last_claim: Option<Time>,
     pub(crate) phase: Phase,
+    /// When the phase needs the next action.
     pub(crate) due: Time,
+    /// Time from the next transmission to the one after it.
     pub(crate) pause: Span,
 }
 
