--- a/crates/dedupe/src/handover.rs
+++ b/crates/dedupe/src/handover.rs
@@ -9,6 +9,7 @@
 struct Pending {
     transfer: Transfer,
     due: Time,
+    /// Time from the next transmission to the one after it.
     pause: Span,
 }
 
@@ -29,7 +30,8 @@
         self.0.keys()
     }
 
-    pub(crate) fn send(&mut self, now: Time, transfer: Transfer) {
+    /// Queues a transfer; `transmit` sends it.
+    pub(crate) fn enqueue(&mut self, now: Time, transfer: Transfer) {
         let host = transfer.to.host.clone();
         let due = now;
         let pause = RESEND_DELAY;
@@ -57,7 +59,7 @@
     /// Transfers whose first transmission or retransmission is due.
     ///
     /// A retransmission repeats the times of the first one, so the receiver keeps records longer and
-    /// takes the stop for later than it was. Both can only lead to more refusals.
+    /// assumes a later stop. Both can only lead to more refusals.
     pub(crate) fn transmit(&mut self, now: Time) -> Vec<LedgerAction> {
         let due = self.0.iter_mut().filter(|(_, pending)| pending.due <= now);
         due.map(|(host, pending)| {
--- a/crates/dedupe/src/ledger.rs
+++ b/crates/dedupe/src/ledger.rs
@@ -193,7 +193,7 @@
             if to != self.agent && (self.history.may_gain(&to) || !records.is_empty()) {
                 let mut transfer = self.history.transfer(now, to);
                 transfer.records = records;
-                self.handovers.send(now, transfer);
+                self.handovers.enqueue(now, transfer);
             }
         }
     }
@@ -248,7 +248,7 @@
                 if claim.attempt > *attempt {
                     return Some(self.grant(now, claim, claimer));
                 }
-                // Another copy of a transmission whose caller was told "not run" must not run.
+                // Another copy of a transmission that was answered "not run" must not run.
                 let refusal = Refusal::Cancelled;
                 Decision::Finished(Outcome::NotRun {
                     refusal,
