--- a/crates/admission/src/claiming.rs
+++ b/crates/admission/src/claiming.rs
@@ -53,7 +53,10 @@
             }
             if wait > self.claim_lead && position >= usize::from(self.runs.slots.get()) {
                 let timer = now + (wait - self.claim_lead).max(MIN_CLAIM_WAIT);
-                self.claim_timer = Some(self.claim_timer.map_or(timer, |w| w.min(timer)));
+                self.claim_timer = Some(
+                    self.claim_timer
+                        .map_or(timer, |earliest| earliest.min(timer)),
+                );
                 break;
             }
             due.push(waiting.id);
--- a/crates/admission/src/expiry.rs
+++ b/crates/admission/src/expiry.rs
@@ -52,9 +52,9 @@
     fn check_run(&mut self, now: Time, mut job: Job<Dispatched>) {
         let id = job.task.id();
         let running = now.since(job.state.started);
-        if self.can_age(job.task.class) && running >= self.profile.short_bound {
+        if self.may_become_long(job.task.class) && running >= self.profile.short_bound {
             job.task.class = Class::Long;
-            self.runs.age(&id);
+            self.runs.mark_long(&id);
             self.count(Counter::Aged);
         }
         if job.task.request.deadline <= now {
@@ -64,16 +64,16 @@
         self.table.insert(Entry::Dispatched(job));
     }
 
-    fn can_age(&self, class: Class) -> bool {
+    fn may_become_long(&self, class: Class) -> bool {
         self.policy.classes && class == Class::Short
     }
 
     /// When a run next reaches the short bound or its deadline.
     pub(crate) fn next_check(&self, now: Time, task: &Task, started: Time) -> Option<Time> {
-        let aging = self
-            .can_age(task.class)
+        let bound_reached = self
+            .may_become_long(task.class)
             .then(|| started + self.profile.short_bound);
-        let checks = [aging, Some(task.request.deadline)];
+        let checks = [bound_reached, Some(task.request.deadline)];
         checks.into_iter().flatten().filter(|at| *at > now).min()
     }
 
--- a/crates/admission/src/running.rs
+++ b/crates/admission/src/running.rs
@@ -197,7 +197,7 @@
         None
     }
 
-    /// Removes one recipient; cancels the request itself for its last recipient.
+    /// Removes a recipient, or cancels the request if it has no other.
     pub(crate) fn cancel(&mut self, now: Time, id: RequestId) {
         let held = self.table.resolve(id);
         let Some(mut entry) = self.table.take(&held) else {
@@ -206,7 +206,7 @@
         let recipient = Recipient::Local(id);
         let recipients = &mut entry.task_mut().recipients;
         if recipients.len() > 1 && recipients.contains(&recipient) {
-            recipients.retain(|c| *c != recipient);
+            recipients.retain(|other| *other != recipient);
             self.table.unalias_id(&id);
             let outcome = Outcome::Unknown;
             self.out.push(Action::Reply { id, outcome });
--- a/crates/admission/src/runs.rs
+++ b/crates/admission/src/runs.rs
@@ -48,7 +48,7 @@
     }
 
     /// Moves a run to the long class.
-    pub(crate) fn age(&mut self, id: &RequestId) {
+    pub(crate) fn mark_long(&mut self, id: &RequestId) {
         if let Some(run) = self.runs.get_mut(id) {
             run.class = Class::Long;
         }
--- a/crates/admission/src/sharing.rs
+++ b/crates/admission/src/sharing.rs
@@ -12,7 +12,7 @@
 use crate::task::{PossibleRun, Recipient, Task};
 use crate::{Action, Counter, Scheduler};
 
-// Transmissions of an offer or an outcome before it is given up.
+// Most times that an offer or an outcome is sent without a reply from the peer.
 const MAX_OFFER_SENDS: u8 = 3;
 const MAX_OUTCOME_SENDS: u8 = 20;
 // Requests at the end of each queue that are considered for an offer.
@@ -152,7 +152,7 @@
             Some(Entry::Offered(job)) if job.state.to == reply => {
                 self.end_delegated(now, job.declined(), outcome);
             }
-            // The offer was given up, but the peer had taken it.
+            // The offer counted as lost, but the peer had taken it.
             Some(Entry::Queued(job)) if has_run(&outcome) => {
                 if job.state.claim.is_some() {
                     self.release_when_granted(&job.task);
--- a/crates/admission/src/task.rs
+++ b/crates/admission/src/task.rs
@@ -73,7 +73,7 @@
         let local = self
             .recipients
             .iter()
-            .all(|c| matches!(c, Recipient::Local(_)));
+            .all(|recipient| matches!(recipient, Recipient::Local(_)));
         local && self.possible_run < PossibleRun::Copy && self.offers.len() < MAX_OFFERS
     }
 
--- a/crates/admission/tests/admission/properties.rs
+++ b/crates/admission/tests/admission/properties.rs
@@ -30,7 +30,7 @@
         3 => (which(), any::<bool>(), any::<bool>())
             .prop_map(|(which, taken, lost)| Step::Reply { which, taken, lost }),
         3 => (which(), 0_u8..3).prop_map(|(which, kind)| Step::Outcome { which, kind }),
-        2 => which().prop_map(Step::Done),
+        2 => which().prop_map(Step::OutcomeAck),
         1 => (0_u64..80, 0_u64..80).prop_map(|(a, b)| Step::Peers(a, b)),
         1 => (1_u16..=world::SLOTS).prop_map(Step::Slots),
     ]
--- a/crates/admission/tests/admission/world/checks.rs
+++ b/crates/admission/tests/admission/world/checks.rs
@@ -20,7 +20,10 @@
             }
             Action::Complete { key, outcome } => {
                 if matches!(outcome, Outcome::NotRun { .. }) {
-                    assert!(!self.ran.contains(&key), "released a key that may have run");
+                    assert!(
+                        !self.ran.contains(&key),
+                        "released the key of a request that may have run"
+                    );
                     if let Some((_, attempt)) = self.granted.remove(&key) {
                         self.released.insert(key, attempt);
                     }
@@ -35,7 +38,7 @@
                 assert!(exclusive, "two offers of {} are outstanding", offer.id);
                 assert!(
                     !self.running.contains_key(&offer.id),
-                    "offered while it runs"
+                    "offered a request that runs here"
                 );
                 self.sent.insert(peer_offer);
             }
@@ -45,7 +48,7 @@
                 let same = previous.is_none_or(|taken| taken == reply.taken);
                 assert!(
                     same || (ended && !reply.taken),
-                    "changed its reply to an offer"
+                    "the reply to an offer changed"
                 );
                 // The offering agent has the outcome and ignores this reply.
                 if ended {
@@ -80,16 +83,16 @@
         assert!(start_by > self.now, "dispatched past its start deadline");
         assert!(
             !self.drain_arrivals.contains(&id),
-            "dispatched an arrival during the drain"
+            "dispatched a request that arrived during the drain"
         );
         assert!(
             !self.reported.contains_key(&id),
-            "dispatched after its outcome"
+            "dispatched a request that has an outcome"
         );
         if !self.is_joined(id) {
             assert!(
                 !self.outcomes.contains_key(&id),
-                "dispatched after its outcome"
+                "dispatched a request that has an outcome"
             );
         }
         let repeated = !self.ran.insert(request.key);
@@ -107,13 +110,13 @@
                 .iter()
                 .filter(|(id, run)| self.is_long(id, run));
             let limit = usize::from(self.slots.saturating_sub(1).max(1));
-            assert!(long.count() < limit, "long work took the last slot");
+            assert!(long.count() < limit, "a long request took the last slot");
         }
         let started = self.now;
         self.running.insert(id, Run { started, repeated });
         assert!(
             self.running.len() <= usize::from(self.slots),
-            "slots exceeded"
+            "more runs than slots"
         );
     }
 
--- a/crates/admission/tests/admission/world/environment.rs
+++ b/crates/admission/tests/admission/world/environment.rs
@@ -9,8 +9,7 @@
 use super::{METHODS, PEERS, World, pick};
 use crate::common::{self, answer, not_run, peer};
 
-// Validity of a grant.
-const GRANT: Span = Span::from_millis(80);
+const GRANT_VALIDITY: Span = Span::from_millis(80);
 
 impl World {
     /// Callers' requests without an outcome.
@@ -72,7 +71,7 @@
         if self.ran.contains(&key) || self.is_released(key, attempt) {
             self.send_event(Event::Settled { id, outcome });
         } else {
-            let start_by = self.now + GRANT;
+            let start_by = self.now + GRANT_VALIDITY;
             self.granted.insert(key, (start_by, attempt));
             self.send_event(Event::Permit { id, start_by });
         }
@@ -124,7 +123,7 @@
         self.send_event(Event::Offered(offer));
     }
 
-    /// A peer replies to an offer; it decides the same on all copies.
+    /// A peer replies to an offer; all copies of the offer get the same decision.
     pub(super) fn reply(&mut self, which: usize, taken: bool, lost: bool) {
         let Some((port, id)) = pick(which, self.sent.iter().copied()) else {
             return;
@@ -152,7 +151,7 @@
             return;
         };
         let request = &self.requests[&id];
-        // The peer keeps the same rules: it never reports "not run" if the request may have run.
+        // A peer follows the same rules: it never reports "not run" if the request may have run.
         let ran = self.ran.contains(&request.key);
         let granted = self.granted.contains_key(&request.key);
         let released = self.is_released(request.key, request.attempt);
--- a/crates/admission/tests/admission/world/mod.rs
+++ b/crates/admission/tests/admission/world/mod.rs
@@ -20,7 +20,7 @@
 
 #[derive(Debug, Clone, Copy)]
 pub enum Step {
-    /// The number of milliseconds that pass.
+    /// This number of milliseconds passes.
     Pass(u64),
     /// `ran`: an earlier attempt ran at another agent.
     Arrive {
@@ -65,7 +65,7 @@
         which: usize,
         kind: u8,
     },
-    Done(usize),
+    OutcomeAck(usize),
     Peers(u64, u64),
     Slots(u16),
 }
@@ -190,7 +190,7 @@
             }
             Step::Reply { which, taken, lost } => self.reply(which, taken, lost),
             Step::Outcome { which, kind } => self.peer_outcome(which, kind),
-            Step::Done(which) => {
+            Step::OutcomeAck(which) => {
                 if let Some(id) = pick(which, self.reported.keys().copied()) {
                     self.send_event(Event::OfferOutcomeAck(OfferOutcomeAck { id }));
                 }
