--- a/crates/agent/src/action.rs
+++ b/crates/agent/src/action.rs
@@ -23,7 +23,7 @@
         /// The whole message.
         bytes: Vec<u8>,
     },
-    /// Tells the caller the outcome; answered by `Event::Reply`.
+    /// Encodes the outcome for the caller; answered by `Event::Reply`.
     Answer {
         /// The request.
         id: RequestId,
--- a/crates/agent/src/event.rs
+++ b/crates/agent/src/event.rs
@@ -62,6 +62,6 @@
     Drain,
     /// The process is about to leave the roster.
     Leave,
-    /// The time returned by `next_timer` has come.
+    /// A timer is due; `next_timer` returned its time.
     Tick,
 }
--- a/crates/agent/src/peers.rs
+++ b/crates/agent/src/peers.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Tells the flow table when every member has adopted the current roster.
+    /// Notifies the flow table once every member has adopted the current roster.
     pub(crate) fn report_adoption(&mut self) {
         let Some(view) = &self.view else { return };
         let roster = &view.roster;
--- a/crates/agent/src/summary.rs
+++ b/crates/agent/src/summary.rs
@@ -11,7 +11,7 @@
     pub weight: Weight,
     /// Dedupe records.
     pub records: usize,
-    /// Earlier rosters that may have an active owner.
+    /// Earlier rosters that may still have an active key owner.
     pub unsettled: Vec<Version>,
     /// Hosts that have not yet taken over the records handed to them.
     pub unacknowledged: Vec<HostId>,
