--- a/crates/routing/tests/allocation.rs
+++ b/crates/routing/tests/allocation.rs
@@ -87,7 +87,11 @@
         };
         let allocations = ALLOCATIONS.get();
         let forward = router.forward(packet, &mut hints, balancer);
-        assert_eq!(ALLOCATIONS.get() - allocations, 1, "the route's vector");
+        assert_eq!(
+            ALLOCATIONS.get() - allocations,
+            1,
+            "forwarding allocates more than the vector of the route"
+        );
         assert!(matches!(forward, Forward::Send { .. }));
     }
 }
--- a/crates/routing/tests/properties.rs
+++ b/crates/routing/tests/properties.rs
@@ -98,10 +98,10 @@
         let stored = table(256, &[roster(1, members.iter().copied())]);
         let ranked = table(65_536, &[roster(1, members)]);
         let callers = || start..start + 100_000;
-        let of = |buckets, caller| bucket_of(&flow(ADDRESS, caller), Buckets::new(buckets)).get();
-        let ranked_flow = callers().find(|caller| of(65_536, *caller) < 256).unwrap();
-        let bucket = of(65_536, ranked_flow);
-        let stored_flow = callers().find(|caller| of(256, *caller) == bucket).unwrap();
+        let bucket_number = |buckets, caller| bucket_of(&flow(ADDRESS, caller), Buckets::new(buckets)).get();
+        let ranked_flow = callers().find(|caller| bucket_number(65_536, *caller) < 256).unwrap();
+        let bucket = bucket_number(65_536, ranked_flow);
+        let stored_flow = callers().find(|caller| bucket_number(256, *caller) == bucket).unwrap();
         prop_assert_eq!(
             stored.route(&flow(ADDRESS, stored_flow)),
             ranked.route(&flow(ADDRESS, ranked_flow))
@@ -139,7 +139,7 @@
         let mut hints = HintTable::new(10);
         hints.insert(packet.flow, agent(hinted));
         let Forward::Send { to, relay } = router.forward(packet, &mut hints, agent(999)) else {
-            panic!("dropped");
+            panic!("packet dropped");
         };
         let own: Vec<_> = members.map(agent).collect();
         prop_assert!(own.contains(&to) && relay.route.iter().all(|one| own.contains(one)));
--- a/crates/routing/tests/router.rs
+++ b/crates/routing/tests/router.rs
@@ -27,7 +27,7 @@
 fn relay(router: &Router, caller: u32, hints: &mut HintTable) -> Relay {
     let forward = router.forward(packet(caller, Body::Open), hints, agent(999));
     let Forward::Send { to, relay } = forward else {
-        panic!("dropped: {forward:?}");
+        panic!("packet dropped: {forward:?}");
     };
     assert_eq!(relay.route.first(), Some(&to));
     assert_eq!(relay.hop, 0);
@@ -37,7 +37,7 @@
 
 /// Guards against a hinted route without the current owner, or without an earlier owner.
 #[test]
-fn a_hint_leads_and_the_owner_follows() {
+fn a_hinted_route_starts_with_the_holder_and_the_owner() {
     let mut rosters = [roster(3, 0..6), roster(2, 6..9), roster(1, 9..12)];
     for draining in [4, 5] {
         rosters[0].members[&host(draining)].state = HostState::Draining;
@@ -61,7 +61,10 @@
             assert!(earlier.iter().all(|owner| hinted.route.contains(owner)));
         }
     }
-    assert!(full > 0, "a hint has to displace an address in some routes");
+    assert!(
+        full > 0,
+        "no route was full, so no hint displaced an address"
+    );
 }
 
 /// Guards against a stale hint that sends a packet to a host of another service (P2) or to a
@@ -112,7 +115,7 @@
     assert_eq!(
         hints.holder(&flow(ADDRESS, 0)),
         Some(agent(2)),
-        "a newer hint replaces"
+        "a newer hint replaces an earlier one"
     );
     hints.forget(&flow(ADDRESS, 0));
     assert_eq!(hints.holder(&flow(ADDRESS, 0)), None);
--- a/crates/routing/tests/routes.rs
+++ b/crates/routing/tests/routes.rs
@@ -17,7 +17,7 @@
     #[serde(default)]
     draining: Vec<usize>,
     candidates: Vec<usize>,
-    least: u8,
+    min_candidates: u8,
     present: Vec<usize>,
     #[serde(default)]
     absent: Vec<usize>,
@@ -60,7 +60,7 @@
                     "{}",
                     row.guards
                 );
-                assert!(route.current() >= row.least, "{}", row.guards);
+                assert!(route.current() >= row.min_candidates, "{}", row.guards);
                 for index in &row.present {
                     assert!(route.agents().contains(&agent(*index)), "{}", row.guards);
                 }
