--- a/crates/burn/src/tally.rs
+++ b/crates/burn/src/tally.rs
@@ -3,10 +3,10 @@
 use serde::{Deserialize, Serialize};
 use usher_types::{Outcome, Refusal, Share, Time};
 
-/// Counts of request outcomes, by what the caller was told.
+/// Counts of request outcomes, as reported to the callers.
 ///
-/// Requests that the caller cancelled or sent malformed are the caller's decision. They are not
-/// counted, so that callers cannot spend the service's error budget.
+/// Requests that the caller cancelled or sent malformed are not counted, so that callers cannot
+/// spend the service's error budget.
 ///
 /// ```
 /// use usher_burn::Tally;
--- a/crates/burn/src/window.rs
+++ b/crates/burn/src/window.rs
@@ -10,7 +10,7 @@
     (Span::from_secs(3_600), 720),
 ];
 
-/// What an agent counted within one window.
+/// Outcomes that an agent counted within one window.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Window {
     /// Length of the window.
--- a/crates/burn/tests/burn.rs
+++ b/crates/burn/tests/burn.rs
@@ -34,7 +34,7 @@
 
 /// Guards against the failure that `guards` of each row names.
 #[test]
-fn outcomes_are_counted_by_what_the_caller_was_told() {
+fn outcomes_are_counted_as_reported_to_the_caller() {
     let rows: Vec<Row> = serde_json::from_str(include_str!("data/outcomes.json")).unwrap();
     for row in rows {
         let mut tally = Tally::default();
