--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -123,7 +123,7 @@
     lagging.chain(unreported).collect()
 }
 
-// Displays one fault a line.
+// Formats one fault per line.
 fn indented_lines(faults: &[ConfigError]) -> String {
     let lines: Vec<String> = faults.iter().map(|fault| format!("  {fault}")).collect();
     lines.join("\n")
--- a/crates/cli/src/processes.rs
+++ b/crates/cli/src/processes.rs
@@ -167,7 +167,7 @@
     Ok(newest_version)
 }
 
-/// A process as an entry of a roster or a fleet names it.
+/// Entry of a process in a roster or a fleet.
 struct ListedProcess {
     peer: Peer,
     admin: SocketAddrV4,
--- a/crates/cli/tests/cli/commands.rs
+++ b/crates/cli/tests/cli/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of the tool against the stand-in of the store.
+//! Commands of the tool against a stand-in store.
 
 use serde_json::{Value as Json, json};
 use usher_cli::{ExitStatus, run};
@@ -47,7 +47,7 @@
     let map = &list["objects"][0]["value"];
     assert!(
         map["generation"].as_u64() > Some(2),
-        "above that of the deleted service: {map}"
+        "the generation is not above that of the deleted service: {map}"
     );
     assert!(shell.ok("profile list").contains("fast  1        4096"));
 }
--- a/crates/cli/tests/cli/processes.rs
+++ b/crates/cli/tests/cli/processes.rs
@@ -84,7 +84,11 @@
     assert_eq!(json["in_force"], false);
     shell.refused("drain desk-9", ExitStatus::Failed, "MU-8011");
     shell.refused("drain desk-1", ExitStatus::Failed, "MU-8012");
-    assert_eq!(shell.writes(), 2, "only the two lists");
+    assert_eq!(
+        shell.writes(),
+        2,
+        "writes other than the fleet and the roster"
+    );
 }
 
 // Guards against removing a live balancer from its fleet, and against keeping a dead one.
@@ -95,7 +99,7 @@
     list_balancer(&shell, "entry-1", entry.admin);
     shell.refused("forget entry-1", ExitStatus::Failed, "MU-8014");
     shell.refused("forget entry-9", ExitStatus::Failed, "MU-8013");
-    assert_eq!(shell.writes(), 1, "only the list");
+    assert_eq!(shell.writes(), 1, "writes other than the fleet");
     let shell = Shell::new("forget-dead");
     list_balancer(&shell, "entry-2", unused_address());
     shell.ok("forget entry-2");
