--- a/crates/scenario/src/agent_node.rs
+++ b/crates/scenario/src/agent_node.rs
@@ -20,7 +20,7 @@
 use crate::backend::RunRequest;
 use crate::effect::{Content, Effect, HandoverReply, HandoverRequest};
 
-// Interval at which the agent's load is passed on to membership.
+// Interval at which the agent's load is reported to membership.
 const REPORT_INTERVAL: Span = Span::from_millis(500);
 // After it has left the roster, an agent still forwards packets that are sent to it for this long.
 const FORWARDING_TIME: Span = Span::from_secs(2);
@@ -128,7 +128,7 @@
         }
     }
 
-    // Passes on the status that membership sends in its heartbeats.
+    // Updates the status that membership sends in its heartbeats.
     fn report_status(&mut self, now: Time) {
         let Some(summary) = self.agent.summary(now) else {
             return;
@@ -360,7 +360,7 @@
         own.is_some_and(|member| member.incarnation == self.settings.incarnation)
     }
 
-    // A planned stop ends when the roster no longer lists this agent and others keep its records.
+    // A planned stop ends when the roster no longer lists this agent and others hold its records.
     fn check_left(&mut self, now: Time) {
         let roster = self
             .cache
--- a/crates/scenario/src/backend.rs
+++ b/crates/scenario/src/backend.rs
@@ -5,7 +5,7 @@
 
 use crate::fault::BackendMode;
 
-/// Request of an agent that its backend server run a caller's request.
+/// Call of an agent to its backend server to run a caller's request.
 #[derive(Debug, Clone)]
 pub(crate) struct RunRequest {
     pub(crate) id: RequestId,
--- a/crates/scenario/src/callers.rs
+++ b/crates/scenario/src/callers.rs
@@ -46,7 +46,7 @@
 
 /// All callers with their flows and requests.
 #[derive(Debug, Default)]
-pub(crate) struct Caller {
+pub(crate) struct Callers {
     pub(crate) flows: Vec<Connection>,
     pub(crate) requests: IndexMap<RequestKey, TrackedRequest>,
     /// Answers that came from another service.
@@ -57,7 +57,7 @@
     index: HashMap<FlowId, usize>,
 }
 
-impl Caller {
+impl Callers {
     pub(crate) fn open(&mut self, connection: Connection) -> usize {
         let position = self.flows.len();
         self.index.insert(connection.flow, position);
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -8,7 +8,7 @@
 mod agent_node;
 mod backend;
 mod balancer_node;
-mod caller;
+mod callers;
 mod clock;
 mod connection;
 mod effect;
--- a/crates/scenario/src/scheduled_event.rs
+++ b/crates/scenario/src/scheduled_event.rs
@@ -55,7 +55,7 @@
     /// The first step of a roster change; its result is written by `WriteRoster`.
     ReadRoster(Proposal, Option<Vec<Version>>),
     WriteRoster(Write, Roster),
-    /// The writer learns that its write succeeded.
+    /// The answer to a successful roster write arrives at the writer.
     RosterWritten(Roster),
     StartRun(RunRequest),
     EndRun(RunRequest),
--- a/crates/scenario/src/simulation/execute.rs
+++ b/crates/scenario/src/simulation/execute.rs
@@ -310,7 +310,7 @@
 
     fn run_request(&mut self, name: &str, request: RunRequest, takes: Span) {
         if let Ok(host) = name.parse() {
-            self.caller
+            self.callers
                 .note_run(self.now, request.id, request.key, &host);
         }
         let takes = takes.scale(self.rng.random_range(0.5..1.5));
--- a/crates/scenario/src/simulation/inject.rs
+++ b/crates/scenario/src/simulation/inject.rs
@@ -126,7 +126,7 @@
             return;
         };
         for _ in 0..count {
-            let port = FIRST_PORT + self.caller.flows.len() as u16;
+            let port = FIRST_PORT + self.callers.flows.len() as u16;
             let flow = FlowId {
                 caller: SocketAddrV4::new(FIRST_CALLER, port),
                 service: address,
@@ -135,7 +135,7 @@
             let begin =
                 self.now + crate::network::between(&mut self.rng, Span::ZERO, MAX_OPENING_DELAY);
             let connection = Connection::new(begin, flow, service.clone());
-            let number = self.caller.open(connection);
+            let number = self.callers.open(connection);
             self.arm_caller(number);
         }
     }
--- a/crates/scenario/src/simulation/measure.rs
+++ b/crates/scenario/src/simulation/measure.rs
@@ -5,7 +5,7 @@
 
 use super::{Simulation, roster_key};
 use crate::Report;
-use crate::caller::TrackedRequest;
+use crate::callers::TrackedRequest;
 use crate::expectation::Expectation;
 
 impl Simulation<'_> {
@@ -74,7 +74,7 @@
     }
 
     fn figures(&self) -> BTreeMap<String, f64> {
-        let requests = || self.caller.requests.values();
+        let requests = || self.callers.requests.values();
         let count = |test: &dyn Fn(&TrackedRequest) -> bool| {
             requests().filter(|tracked| test(tracked)).count() as f64
         };
@@ -94,7 +94,7 @@
             .machines
             .values()
             .filter(|machine| machine.service.is_some() && machine.process.is_some());
-        let opened = self.caller.flows.iter().filter(|flow| flow.is_open());
+        let opened = self.callers.flows.iter().filter(|flow| flow.is_open());
         let mut figures = BTreeMap::from([
             ("accepted", self.tally.accepted() as f64),
             (
@@ -107,7 +107,7 @@
                 calls as f64 / (requests().count() as f64).max(1.0),
             ),
             ("conflicts", self.tally.conflicts as f64),
-            ("damaged", self.caller.damaged as f64),
+            ("damaged", self.callers.damaged as f64),
             (
                 "failed",
                 replied(&|outcome| matches!(outcome, Outcome::Failed(_))),
@@ -158,11 +158,11 @@
 
     // Counts flows that were reset, were never accepted, or have an unanswered request.
     fn broken_flows(&self) -> usize {
-        let requests = self.caller.requests.values();
+        let requests = self.callers.requests.values();
         let transmissions = requests.flat_map(|tracked| &tracked.transmissions);
         let waiting = transmissions.filter(|(_, transmission)| transmission.reply.is_none());
         let mut broken: Vec<_> = waiting.map(|(id, _)| id.flow).collect();
-        let closed = self.caller.flows.iter().filter(|flow| !flow.is_open());
+        let closed = self.callers.flows.iter().filter(|flow| !flow.is_open());
         broken.extend(closed.map(|flow| flow.flow));
         broken.sort_unstable();
         broken.dedup();
@@ -178,13 +178,13 @@
                 machine.and_then(|machine| machine.service.as_ref()) != Some(&tracked.load.service)
             })
         };
-        let foreign = self.caller.requests.values().filter(is_foreign).count();
-        foreign + self.caller.misrouted as usize
+        let foreign = self.callers.requests.values().filter(is_foreign).count();
+        foreign + self.callers.misrouted as usize
     }
 
     fn runs_after_drain(&self, after: Span) -> usize {
         let runs = self
-            .caller
+            .callers
             .requests
             .values()
             .flat_map(|tracked| &tracked.runs);
--- a/crates/scenario/src/simulation/mod.rs
+++ b/crates/scenario/src/simulation/mod.rs
@@ -17,7 +17,7 @@
 };
 
 use crate::backend::Backend;
-use crate::caller::Caller;
+use crate::callers::Callers;
 use crate::clock::Clock;
 use crate::fault::Setting;
 use crate::machine::Machine;
@@ -50,9 +50,9 @@
     machines: IndexMap<MachineName, Machine>,
     addresses: HashMap<SocketAddrV4, MachineName>,
     backends: HashMap<MachineName, Backend>,
-    // Balancers that the fabric sends packets to, also for a while after their death.
+    // Balancers that the fabric sends packets to; a dead one stays until it is withdrawn.
     advertised: Vec<MachineName>,
-    caller: Caller,
+    callers: Callers,
     tally: Tally,
     // Unanswered handovers by call number: sender, its incarnation and receiver.
     handovers: HashMap<u64, (MachineName, u64, MachineName)>,
@@ -71,7 +71,7 @@
     pub(crate) fn new(scenario: &'a Scenario, seed: u64) -> Self {
         let mut rng = Pcg64::seed_from_u64(seed);
         let network = Network::new(rng.random());
-        let mut world = Self {
+        let mut simulation = Self {
             scenario,
             seed,
             now: Time::ZERO,
@@ -84,7 +84,7 @@
             addresses: HashMap::new(),
             backends: HashMap::new(),
             advertised: Vec::new(),
-            caller: Caller::default(),
+            callers: Callers::default(),
             tally: Tally::default(),
             handovers: HashMap::new(),
             settings: Settings {
@@ -94,8 +94,8 @@
                 answer: 32,
             },
         };
-        world.set_up();
-        world
+        simulation.set_up();
+        simulation
     }
 
     pub(crate) fn run(mut self) -> Report {
@@ -162,7 +162,7 @@
                 Some(value),
             );
             // The write of a profile fails if an earlier service uses it too.
-            let _exists = self.store.put(write, &mut self.rng);
+            let _result = self.store.put(write, &mut self.rng);
         }
     }
 
@@ -242,8 +242,8 @@
                 self.on_machine(name, incarnation, machine_event);
             }
             ScheduledEvent::CallerPacket(packet) => {
-                let number = self.caller.position(&packet.flow);
-                let packets = self.caller.receive(self.now, packet, self.settings.answer);
+                let number = self.callers.position(&packet.flow);
+                let packets = self.callers.receive(self.now, packet, self.settings.answer);
                 self.spray(packets);
                 if let Some(number) = number {
                     self.arm_caller(number);
@@ -263,7 +263,7 @@
             ScheduledEvent::OperatorWrites(writes) => self.write_as_operator(writes),
             ScheduledEvent::Request(load) => self.request(load),
             ScheduledEvent::CallerTimer(number) => {
-                let flow = &mut self.caller.flows[number];
+                let flow = &mut self.callers.flows[number];
                 if flow.next_timer().is_some_and(|due| due <= self.now) {
                     let packets = flow.tick(self.now);
                     self.spray(packets);
@@ -280,12 +280,12 @@
         if self.now + load.every <= Time::ZERO + WARM_UP + self.scenario.run {
             self.push(load.every, ScheduledEvent::Request(number));
         }
-        let open_flows = self.caller.open_flows(&load);
+        let open_flows = self.callers.open_flows(&load);
         if open_flows.is_empty() {
             return;
         }
         let key = RequestKey::new(self.rng.random());
-        self.caller.track(self.now, key, load);
+        self.callers.track(self.now, key, load);
         let flow = open_flows[self.rng.random_range(0..open_flows.len())];
         self.transmit(key, flow);
         if self.rng.random_bool(self.settings.twice) {
@@ -301,7 +301,7 @@
         let Some((after, attempts)) = self.settings.resend else {
             return;
         };
-        let Some(tracked) = self.caller.requests.get_mut(&key) else {
+        let Some(tracked) = self.callers.requests.get_mut(&key) else {
             return;
         };
         if tracked.is_answered() || tracked.attempts >= attempts {
@@ -309,20 +309,20 @@
         }
         tracked.attempts += 1;
         let load = tracked.load.clone();
-        let open_flows = self.caller.open_flows(&load);
+        let open_flows = self.callers.open_flows(&load);
         let flow = open_flows[self.rng.random_range(0..open_flows.len())];
         self.transmit(key, flow);
         self.push(after, ScheduledEvent::Resend(key));
     }
 
     fn transmit(&mut self, key: RequestKey, flow: usize) {
-        let packets = self.caller.send(self.now, key, flow);
+        let packets = self.callers.send(self.now, key, flow);
         self.spray(packets);
         self.arm_caller(flow);
     }
 
     fn arm_caller(&mut self, number: usize) {
-        if let Some(due) = self.caller.flows[number].next_timer() {
+        if let Some(due) = self.callers.flows[number].next_timer() {
             self.push_at(due, ScheduledEvent::CallerTimer(number));
         }
     }
--- a/crates/scenario/src/statement.rs
+++ b/crates/scenario/src/statement.rs
@@ -46,7 +46,7 @@
     pub(crate) fn parse(line: usize, text: &str) -> Result<Self, Cause> {
         let words: Vec<&str> = text.split_whitespace().collect();
         Ok(match words.as_slice() {
-            ["seed", seed] => Self::Seed(value(seed)?),
+            ["seed", seed] => Self::Seed(number(seed)?),
             [
                 "service",
                 name,
@@ -60,13 +60,13 @@
                 centre,
             ] => Self::Service(ServiceSpec {
                 name: name.parse()?,
-                hosts: value(hosts)?,
+                hosts: number(hosts)?,
                 slots: slots.parse()?,
                 profile: profile.parse()?,
                 centre: centre.parse()?,
             }),
             ["balancers", count, "centre", centre] => {
-                Self::Balancers(value(count)?, centre.parse()?)
+                Self::Balancers(number(count)?, centre.parse()?)
             }
             ["run", span] => Self::Run(span.parse()?),
             [
@@ -106,9 +106,9 @@
             let span: Span = span.parse()?;
             (name, Relation::AtMost, span.as_secs_f64())
         }
-        [name @ .., "<=", limit] => (name, Relation::AtMost, value(limit)?),
-        [name @ .., ">=", limit] => (name, Relation::AtLeast, value(limit)?),
-        [name @ .., limit] => (name, Relation::Equal, value(limit)?),
+        [name @ .., "<=", limit] => (name, Relation::AtMost, number(limit)?),
+        [name @ .., ">=", limit] => (name, Relation::AtLeast, number(limit)?),
+        [name @ .., limit] => (name, Relation::Equal, number(limit)?),
         [] => return Err(Cause::Statement),
     };
     Ok(Expectation {
@@ -137,7 +137,7 @@
             span.parse()?,
         ),
         ["store", "down", "for", span] => Fault::StoreDown(span.parse()?),
-        ["store", "lose-answers", count] => Fault::LoseAnswers(value(count)?),
+        ["store", "lose-answers", count] => Fault::LoseAnswers(number(count)?),
         ["store", "stale", "for", span] => Fault::StoreStale(span.parse()?),
         ["set", "profile", name, fields @ ..] => Fault::SetProfile(
             name.parse()?,
@@ -152,7 +152,7 @@
         ["backend", host, mode, "for", span] => {
             Fault::Backend(host.parse()?, backend_mode(mode)?, span.parse()?)
         }
-        ["open", count, "flows", service] => Fault::OpenFlows(value(count)?, service.parse()?),
+        ["open", count, "flows", service] => Fault::OpenFlows(number(count)?, service.parse()?),
         rest => Fault::Setting(setting(rest)?),
     })
 }
@@ -166,9 +166,9 @@
         ["watch", least, greatest] => Setting::Watch(least.parse()?, greatest.parse()?),
         ["twice", share] => Setting::Twice(percent(share)?),
         ["resend", "after", span, "attempts", count] => {
-            Setting::Resend(span.parse()?, value(count)?)
+            Setting::Resend(span.parse()?, number(count)?)
         }
-        ["answer", length] => Setting::Answer(value(length)?),
+        ["answer", length] => Setting::Answer(number(length)?),
         _ => return Err(Cause::Statement),
     })
 }
@@ -197,14 +197,14 @@
 fn percent(text: &str) -> Result<f64, Cause> {
     let invalid = || Cause::Value(format!("{text:?} is no percentage"));
     let digits = text.strip_suffix('%').ok_or_else(invalid)?;
-    let share = value::<f64>(digits)? / 100.0;
+    let share = number::<f64>(digits)? / 100.0;
     (0.0..=1.0)
         .contains(&share)
         .then_some(share)
         .ok_or_else(invalid)
 }
 
-fn value<T: FromStr>(text: &str) -> Result<T, Cause> {
+fn number<T: FromStr>(text: &str) -> Result<T, Cause> {
     let parsed = text.parse().ok();
     parsed.ok_or_else(|| Cause::Value(format!("{text:?} is no number in range")))
 }
--- a/crates/scenario/src/store.rs
+++ b/crates/scenario/src/store.rs
@@ -4,7 +4,7 @@
 use usher_config::{Answer, Condition, Object, ObjectKey, Pending, Step, Write};
 use usher_types::Version;
 
-// Attempts at one write before its result is given up as unknown.
+// Steps of one write after which its result counts as unknown.
 const MAX_STEPS: usize = 8;
 
 /// Reason why a conditional write failed or has an unknown result.
@@ -28,7 +28,7 @@
 }
 
 impl Store {
-    /// Makes half of the reads see the present state until the replica is no longer stale.
+    /// Begins or ends a time in which half of the reads see the state at its start.
     pub(crate) fn set_stale(&mut self, stale: bool) {
         self.replica = stale.then(|| (self.last, self.objects.clone()));
     }
@@ -37,7 +37,7 @@
         self.view(rng).1.get(key).cloned()
     }
 
-    /// Current state of an object, read past a stale replica.
+    /// Current state of an object, whether or not a replica is stale.
     pub(crate) fn latest(&self, key: &ObjectKey) -> Option<&Object> {
         self.objects.get(key)
     }
