--- a/crates/admission/src/scheduler.rs
+++ b/crates/admission/src/scheduler.rs
@@ -16,7 +16,7 @@
 
 // Claim lead until the round trip of a claim has been measured.
 const INITIAL_CLAIM_LEAD: Span = Span::from_millis(5);
-// The callers' default deadline; a drain may spend a few seconds on queued requests.
+// A drain still dispatches queued requests for the callers' default deadline; it may take seconds.
 const DRAIN_QUEUE_TIME: Span = Span::from_secs(2);
 
 /// Decides when and where the requests of a host run.
--- a/crates/admission/tests/admission/world/environment.rs
+++ b/crates/admission/tests/admission/world/environment.rs
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Answers a claim; the key owner grants no key that has run or was released.
+    /// Answers a claim; grants no key that has run, and a released key to later attempts only.
     pub(super) fn verdict(&mut self, which: usize, kind: u8) {
         if self.claims.is_empty() {
             return;
