--- a/crates/routing/src/quarantine.rs
+++ b/crates/routing/src/quarantine.rs
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 struct Assignment {
     service: ServiceName,
-    // When the service no longer had the address.
+    // Time of the update that took the address from the service.
     removed: Option<Time>,
     blocked_until: Option<Time>,
 }
