--- a/crates/bench/src/experiment/crest.rs
+++ b/crates/bench/src/experiment/crest.rs
@@ -120,7 +120,7 @@
     (latencies, total)
 }
 
-/// Time from the end of the burst to the last missed request.
+/// Milliseconds from the end of the burst to the last missed request.
 ///
 /// It is the arrival of the last request after the burst that was not answered in time.
 fn recovery(site: &Deployment, workload: &Workload, result: &RunResult) -> f64 {
--- a/crates/bench/src/experiment/retries.rs
+++ b/crates/bench/src/experiment/retries.rs
@@ -29,7 +29,7 @@
 fn table(site: &Deployment, failed_hosts: usize, seeds: u64) -> Table {
     let unlimited = Share::new(1.0).unwrap_or_default();
     let limited = Options::default().retries;
-    // For each: transmissions by the caller and whether they share one attempt budget, and the
+    // Name, most transmissions by the caller and whether they share one attempt budget, and the
     // share of successes that agents spend on retries.
     let variants = [
         ("system", (1, true), limited),
--- a/crates/bench/src/model/run_result.rs
+++ b/crates/bench/src/model/run_result.rs
@@ -66,8 +66,8 @@
             .map(|h| h.busy_time.as_secs_f64() * h.speed)
             .sum();
         let strength: f64 = self.hosts.iter().map(|h| h.speed * h.slots as f64).sum();
-        let even = used / strength;
-        let load = |h: &Host| h.busy_time.as_secs_f64() / h.slots as f64 / even;
+        let mean = used / strength;
+        let load = |h: &Host| h.busy_time.as_secs_f64() / h.slots as f64 / mean;
         self.hosts.iter().map(load).collect()
     }
 
--- a/crates/bench/src/model/workload.rs
+++ b/crates/bench/src/model/workload.rs
@@ -68,7 +68,7 @@
 /// They are generated from a seed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Workload {
-    /// Flows; those that succeed each other in one place stand together, in this order.
+    /// Flows; those that replace one another are adjacent, in order of opening.
     pub flows: Vec<Flow>,
     /// Requests in order of arrival.
     pub arrivals: Vec<Arrival>,
@@ -91,11 +91,11 @@
     pub fn draw(site: &Deployment, load_profile: LoadProfile, seed: u64) -> Self {
         let mut rng = Pcg64::seed_from_u64(seed);
         let count = load_profile.flows * site.speeds.len();
-        let mut places: Vec<Vec<usize>> = Vec::new();
+        let mut chains: Vec<Vec<usize>> = Vec::new();
         let mut flows = Vec::new();
-        for place in 0..count {
-            let opens = Time::ZERO + load_profile.ramp.scale(place as f64 / count as f64);
-            places.push(draw_flows(&mut rng, &mut flows, opens, load_profile));
+        for chain in 0..count {
+            let opens = Time::ZERO + load_profile.ramp.scale(chain as f64 / count as f64);
+            chains.push(draw_flows(&mut rng, &mut flows, opens, load_profile));
         }
         let mut arrivals = Vec::new();
         for kind in 0..site.mix.len() {
@@ -103,12 +103,12 @@
                 continue;
             }
             let mut rng = Pcg64::seed_from_u64(seed ^ (kind as u64 + 1) << 32);
-            draw_kind(
+            draw_requests(
                 site,
                 load_profile,
                 kind,
                 &mut rng,
-                (&places, &flows),
+                (&chains, &flows),
                 &mut arrivals,
             );
         }
@@ -117,7 +117,7 @@
     }
 }
 
-// Adds the flows of one place, which succeed each other, and returns their indexes.
+// Adds flows that replace one another and returns their indexes.
 fn draw_flows(
     rng: &mut Pcg64,
     flows: &mut Vec<Flow>,
@@ -126,10 +126,10 @@
 ) -> Vec<usize> {
     let long_lived = !load_profile.churn || rng.random_bool(LONG_LIVED_SHARE);
     let mut opens = opens;
-    let mut chain = Vec::new();
+    let mut indexes = Vec::new();
     loop {
         let number = flows.len();
-        chain.push(number);
+        indexes.push(number);
         let lifetime = Span::from_secs_f64(exponential(rng) * MEAN_LIFETIME_S);
         let next = opens + lifetime;
         let ends = !long_lived && next < Time::ZERO + load_profile.end;
@@ -139,7 +139,7 @@
             closes: ends.then(|| next + CLOSE_DELAY),
         });
         if !ends {
-            return chain;
+            return indexes;
         }
         opens = next;
     }
@@ -162,12 +162,12 @@
 }
 
 // Adds the requests of one kind, with exponentially distributed times between them.
-fn draw_kind(
+fn draw_requests(
     site: &Deployment,
     load_profile: LoadProfile,
     kind: usize,
     rng: &mut Pcg64,
-    (places, flows): (&[Vec<usize>], &[Flow]),
+    (chains, flows): (&[Vec<usize>], &[Flow]),
     out: &mut Vec<Arrival>,
 ) {
     let work = site.mix[kind];
@@ -183,9 +183,9 @@
         if !work.long && rng.random_bool(site.straggler_share) {
             factor *= site.straggler_factor;
         }
-        let place = &places[rng.random_range(0..places.len())];
+        let chain = &chains[rng.random_range(0..chains.len())];
         let open = |number: &&usize| flows[**number].opens + OPEN_DELAY <= at;
-        if let Some(flow) = place.iter().rev().find(open) {
+        if let Some(flow) = chain.iter().rev().find(open) {
             out.push(Arrival {
                 at,
                 flow: *flow,
--- a/crates/bench/src/subject/agents.rs
+++ b/crates/bench/src/subject/agents.rs
@@ -20,7 +20,7 @@
 const HINT_CAPACITY: usize = 100_000;
 // Simulated time after the last request, in which open requests end.
 const SETTLE_TIME: Span = Span::from_secs(15);
-// A process that has left the roster still forwards packets of flows that it handed over.
+// Time for which a process that left the roster forwards packets of flows that it handed over.
 const LINGER: Span = Span::from_secs(5);
 pub(crate) const BEAT_INTERVAL: Span = Span::from_secs(1);
 
@@ -190,7 +190,7 @@
 
     fn start(&mut self) {
         // The flow table keeps the hunt threshold of the first profile, while the scheduler follows
-        // later ones: a first profile of one hour turns hunting off.
+        // later ones: a threshold of one hour in the first profile turns hunting off.
         if self.options.hunt.is_none() {
             let off = Profile {
                 hunt: Span::from_secs(3_600),
@@ -209,9 +209,9 @@
                 );
             }
         }
-        if let Some(gap) = self.options.restart_interval {
+        if let Some(interval) = self.options.restart_interval {
             for node in 0..self.nodes.len() {
-                let at = Time::ZERO + gap * (node as u64 + 1);
+                let at = Time::ZERO + interval * (node as u64 + 1);
                 self.events.add(at, Step::Drain(node));
             }
         }
@@ -263,7 +263,7 @@
         }
     }
 
-    /// Gives an event to an agent and carries out the actions that it returns.
+    /// Passes an event to an agent and carries out the actions that it returns.
     pub(super) fn handle_event(&mut self, now: Time, node: usize, event: Event) {
         if self.nodes[node].phase == Phase::Exited {
             return;
--- a/crates/bench/src/subject/agents_network.rs
+++ b/crates/bench/src/subject/agents_network.rs
@@ -13,7 +13,7 @@
 use super::node::{address_index, balancer_address, service};
 use crate::model::SERVICE;
 
-// Longest time after which a process adopts a new roster.
+// Longest delay before a process adopts a new roster.
 const ADOPTION_SPREAD: Span = Span::from_secs(1);
 
 impl Agents<'_> {
--- a/crates/bench/src/subject/agents_restart.rs
+++ b/crates/bench/src/subject/agents_restart.rs
@@ -25,9 +25,9 @@
         }
     }
 
-    /// Gives handed-over flows or records to their new host.
+    /// Passes handed-over flows or records to their new host.
     ///
-    /// The old host gets the answer.
+    /// The answer goes back to the old host.
     pub(super) fn take_transfer(&mut self, now: Time, to: usize, from: usize, transfer: Transfer) {
         let is_flows = matches!(transfer, Transfer::Flows(_));
         let event = match transfer {
--- a/crates/bench/src/subject/baseline.rs
+++ b/crates/bench/src/subject/baseline.rs
@@ -40,7 +40,7 @@
     connections: Vec<usize>,
     // Load in the last report of each host.
     reports: Vec<usize>,
-    // Host that each balancer took last in its turn, modulo the number of hosts.
+    // Counter of each balancer: modulo the number of hosts, the host that it chose last.
     turns: Vec<usize>,
     // Host of each flow.
     flow_hosts: Vec<usize>,
@@ -138,8 +138,8 @@
             }
             Step::Report => {
                 for host in 0..self.reports.len() {
-                    let held = self.queues[host].len() + self.result.hosts[host].busy;
-                    self.reports[host] = self.connections[host] + held;
+                    let requests = self.queues[host].len() + self.result.hosts[host].busy;
+                    self.reports[host] = self.connections[host] + requests;
                 }
             }
         }
--- a/crates/bench/src/subject/oracle.rs
+++ b/crates/bench/src/subject/oracle.rs
@@ -17,7 +17,7 @@
     result: RunResult,
 }
 
-/// A simulated event; numbers are indexes of flows, hosts and requests.
+/// A simulated event; numbers are indexes of hosts and requests.
 #[derive(Debug)]
 enum Step {
     /// The request arrives at the queue.
--- a/crates/bench/tests/fakes.rs
+++ b/crates/bench/tests/simulation.rs
@@ -35,7 +35,7 @@
     }
 }
 
-// Guards against requests that get lost in the simulation and look like refused ones.
+// Guards against requests that the simulation loses and that then count as refused.
 #[test]
 fn each_request_ends() {
     let site = Deployment::riga();
@@ -102,7 +102,7 @@
     );
 }
 
-// Guards against events of the same time changing places: packets of a flow would be reordered.
+// Guards against reordered events of the same time, which would reorder the packets of a flow.
 #[test]
 fn event_queue_keeps_order() {
     let mut events = EventQueue::default();
