--- a/crates/capacity/src/meter.rs
+++ b/crates/capacity/src/meter.rs
@@ -5,7 +5,7 @@
 use rustix::time::{ClockId, clock_gettime};
 
 const NANOS_PER_SECOND: f64 = 1e9;
-// Other load on the machine affects the median of several batches little.
+// Other load on the machine has little effect on the median of several batches.
 const BATCHES: usize = 5;
 
 /// Processor time that this thread has used, in nanoseconds.
--- a/crates/capacity/src/sample.rs
+++ b/crates/capacity/src/sample.rs
@@ -11,7 +11,7 @@
 
 /// Number of data centres in the deployment size expected in two years.
 pub(crate) const CENTRES: usize = 16;
-/// Start of all measurements, later than every timeout and lease of the protocol.
+/// Start of all measurements; its distance from zero exceeds all timeouts and leases.
 pub(crate) const START: Time = Time::from_micros(10_000_000_000);
 
 // Earlier rosters that a roster lists.
@@ -81,8 +81,8 @@
     let earlier = (1..=EARLIER_ROSTERS).map(|age| PastRoster {
         version: Version::new(VERSION - age),
         members: (0..size)
-            .map(|place| member(first + place))
-            .map(|(host, listed)| (host, replaced(listed, age)))
+            .map(|offset| member(first + offset))
+            .map(|(host, listed)| (host, with_older_incarnation(listed, age)))
             .collect(),
     });
     Roster {
@@ -93,7 +93,7 @@
 }
 
 // The same member with an incarnation that is `age` older.
-fn replaced(mut member: Member, age: u64) -> Member {
+fn with_older_incarnation(mut member: Member, age: u64) -> Member {
     member.incarnation = Incarnation::new(INCARNATION.get() - age);
     member
 }
--- a/crates/capacity/src/sweeps/payload.rs
+++ b/crates/capacity/src/sweeps/payload.rs
@@ -75,7 +75,7 @@
         let datagram = encode_message(&message).map_err(io::Error::other)?;
         point.set(name, datagram.len() as f64);
     }
-    // No message carries a single member; the figure is the size that such a message would add.
+    // No message carries a single member; the figure is the size of its content if one did.
     let change = postcard::to_stdvec(&sample::member_change()).map_err(io::Error::other)?;
     point.set("member_change_bytes", change.len() as f64);
     Ok(())
--- a/crates/capacity/src/sweeps/records.rs
+++ b/crates/capacity/src/sweeps/records.rs
@@ -7,7 +7,7 @@
 use super::service::claim;
 use crate::{Point, meter, sample};
 
-// A short answer, as a booking request gets.
+// A short answer like that to a booking request.
 const ANSWER: &[u8] = br#"{"service":"booking-desk","booking":"1234567890"}"#;
 
 pub(crate) fn measure(records: usize, point: &mut Point) -> io::Result<()> {
--- a/crates/capacity/src/sweeps/service.rs
+++ b/crates/capacity/src/sweeps/service.rs
@@ -13,10 +13,10 @@
 
 use crate::{Point, meter, sample};
 
-// Copies of the table, enough that their memory stands out from that of the rest of the process.
+// Copies of the table; with fewer, other memory of the process would distort the figure.
 const SMALL_TABLES: usize = 10_000;
 const LARGE_TABLES: usize = 4;
-// Number of hosts from which on a table of 4,096 buckets is computed in advance.
+// Least number of hosts for which a table of 4,096 buckets is computed in advance.
 const MIN_PRECOMPUTED: usize = 64;
 const PACKETS: usize = 20_000;
 const BEATS: usize = 2_000;
@@ -165,7 +165,7 @@
 /// Builds the first claim of a key.
 pub(crate) fn claim(key: usize, now: Time) -> Claim {
     Claim {
-        // Callers choose random keys; the multiplication spreads these over all values alike.
+        // Callers choose random keys; the multiplication spreads numbers over all values too.
         key: RequestKey::new(
             (key as u128 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835),
         ),
--- a/crates/capacity/tests/line.rs
+++ b/crates/capacity/tests/line.rs
@@ -16,6 +16,6 @@
     let squares: Vec<_> = (0..5)
         .map(|size| (f64::from(size), f64::from(size * size)))
         .collect();
-    let line = Line::fit(&squares).expect("a line");
+    let line = Line::fit(&squares).expect("points of several sizes have a line");
     assert!(line.residual > 0.08, "{line:?}");
 }
