--- a/crates/standins/src/caller/driver.rs
+++ b/crates/standins/src/caller/driver.rs
@@ -20,7 +20,7 @@
 const RECEIVE_BUFFER_BYTES: usize = 8 << 20;
 const FLOWS_PER_ADDRESS: usize = 50_000;
 const FIRST_PORT: u16 = 10_000;
-// A flow is broken when a request on it has no answer this long after its deadline.
+// A flow counts as broken when a request on it has no answer this long after its deadline.
 const ANSWER_GRACE: Span = Span::from_secs(5);
 // A socket's read timeout must not be zero.
 const MIN_WAIT: Duration = Duration::from_micros(50);
@@ -171,9 +171,9 @@
             return;
         }
         let rate = self.args.load[load].rate.get();
-        let gap = -self.rng.random::<f64>().max(f64::MIN_POSITIVE).ln() / rate;
+        let interval = -self.rng.random::<f64>().max(f64::MIN_POSITIVE).ln() / rate;
         self.events.push(Reverse((
-            scheduled + Span::from_secs_f64(gap),
+            scheduled + Span::from_secs_f64(interval),
             Event::Request(load),
         )));
         if let Some(flow) = self.pick_flow(load) {
--- a/crates/standins/src/caller/request.rs
+++ b/crates/standins/src/caller/request.rs
@@ -2,7 +2,7 @@
 use usher_types::{Attempt, AttemptBudget, Payload, RequestKey, Span};
 use usher_wire::{Meta, RequestMessage};
 
-/// A single request; [`Request::new`] gives a repeatable first attempt.
+/// A single request; [`Request::new`] creates a repeatable first attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
     /// Idempotency key.
--- a/crates/standins/src/caller/single.rs
+++ b/crates/standins/src/caller/single.rs
@@ -125,7 +125,7 @@
 fn receive_packets(socket: &UdpSocket, received: &mpsc::Sender<Command>) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        // A closed port of the fabric is reported here; it concerns no received packet.
+        // The error reports an earlier send to a closed port of the fabric.
         let Ok(length) = socket.recv(&mut buffer) else {
             continue;
         };
--- a/crates/standins/src/fabric/network.rs
+++ b/crates/standins/src/fabric/network.rs
@@ -170,7 +170,7 @@
 ) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        // An earlier send to a closed port is reported here; it concerns no received packet.
+        // The error reports an earlier send to a closed port.
         let Ok((length, from)) = socket.recv_from(&mut buffer) else {
             continue;
         };
--- a/crates/standins/src/fabric/path_faults.rs
+++ b/crates/standins/src/fabric/path_faults.rs
@@ -9,7 +9,7 @@
     pub loss: f64,
     /// Share of packets delivered twice, from 0 to 1.
     pub duplicates: f64,
-    /// Longest random delay of a packet; packets overtake each other.
+    /// Longest random delay of a packet, which may reorder packets.
     pub delay: Span,
 }
 
