--- a/crates/daemon/tests/exit_status.rs
+++ b/crates/daemon/tests/exit_status.rs
@@ -14,7 +14,7 @@
 
 /// Guards against a supervisor that restarts a process with wrong settings endlessly.
 #[test]
-fn exit_status_tells_success_from_wrong_settings() {
+fn exit_status_distinguishes_wrong_settings() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     for (args, status, expected) in ROWS {
         let mut command = Command::new(env!("CARGO_BIN_EXE_marigoldusherd"));
--- a/crates/daemon/tests/processes/answers.rs
+++ b/crates/daemon/tests/processes/answers.rs
@@ -15,7 +15,7 @@
     delay: Span::from_millis(20),
 };
 
-// Guards against an answer that is truncated, corrupted or given to another request (P3).
+// Guards against an answer that is truncated, corrupted or sent for another request (P3).
 #[test]
 fn answers_are_whole_on_a_faulty_fabric() {
     let deployment = Deployment::start("answers", 2, 2);
--- a/crates/daemon/tests/processes/balancers.rs
+++ b/crates/daemon/tests/processes/balancers.rs
@@ -7,7 +7,7 @@
 // Answers awaited before and after each change: two for each flow, so that every flow is used.
 const ANSWERS_PER_STEP: u64 = 2 * FLOWS as u64;
 
-// Guards against flow state in a balancer: losing or adding one must not break a flow (P1).
+// Guards against balancers that keep flow state: losing or adding one must break no flow (P1).
 #[test]
 fn flows_outlive_a_balancer() {
     let mut deployment = Deployment::start("balancers", 3, 2);
--- a/crates/daemon/tests/processes/datagrams.rs
+++ b/crates/daemon/tests/processes/datagrams.rs
@@ -12,7 +12,7 @@
 // Each of a balancer's two traffic threads reports its counts in batches of this many datagrams.
 const REPORT_BATCH: usize = 256;
 const THREADS: usize = 2;
-// More datagrams at each check, in place of those that a full socket buffer dropped.
+// Datagrams added at each check, since a full socket buffer may have dropped some.
 const EXTRA: usize = 16;
 
 #[derive(Deserialize)]
--- a/crates/daemon/tests/processes/deployment.rs
+++ b/crates/daemon/tests/processes/deployment.rs
@@ -162,7 +162,7 @@
         self.add_agent(service, number);
     }
 
-    /// Starts the agent beside a backend server that is running.
+    /// Starts the agent of a backend server that is already running.
     pub fn add_agent(&mut self, service: &str, number: u16) {
         let listen = self.agent_address(service, number);
         self.add_agent_at(service, number, listen);
@@ -295,7 +295,7 @@
     // Waits until non-repeatable requests run: key owners grant them only after the records that
     // move when hosts join have been handed over.
     fn await_grants(&self) {
-        const IN_A_ROW: u32 = 10;
+        const REQUIRED_ANSWERS: u32 = 10;
         let caller = self.caller();
         let address = service_address(BOOKING);
         let mut granted = 0;
@@ -310,7 +310,7 @@
                 eprintln!("{flow}: {outcome:?}");
             }
             granted = if is_answered { granted + 1 } else { 0 };
-            granted >= IN_A_ROW
+            granted >= REQUIRED_ANSWERS
         });
     }
 
--- a/crates/daemon/tests/processes/isolation.rs
+++ b/crates/daemon/tests/processes/isolation.rs
@@ -68,7 +68,7 @@
         let status = deployment.call("map-office-1", "status");
         status.is_some_and(|status| status["flows"].is_u64())
     });
-    // The load keeps using flows of the killed host, and new flows of its buckets go there too.
+    // The load uses flows of the killed host, and new flows of its buckets go to its address too.
     let others = deployment.caller();
     let opened = (0..FLOWS)
         .filter_map(|_| {
@@ -100,7 +100,10 @@
     await_until("dropped messages", ANSWER_LIMIT, || {
         dropped("agent").is_some_and(|count| count >= 2 * COPIES as u64)
     });
-    assert!(dropped("flows").is_some_and(|count| count > 0), "no relay");
+    assert!(
+        dropped("flows").is_some_and(|count| count > 0),
+        "no relay was dropped"
+    );
     assert_eq!(deployment.backends["map-office-1"].total(), 0);
     let map = Request::new("map", new_key());
     let flow = open(&caller, MAPS, 1)[0];
--- a/crates/daemon/tests/processes/load.rs
+++ b/crates/daemon/tests/processes/load.rs
@@ -147,7 +147,7 @@
             }
             None => true,
         });
-        // Waits for the next request's turn; the channel closes when the load is stopped.
+        // Waits until the next request is due; the channel closes when the load is stopped.
         if stopped.recv_timeout(REQUEST_INTERVAL) == Err(RecvTimeoutError::Disconnected) {
             break;
         }
--- a/crates/daemon/tests/processes/paused_agent.rs
+++ b/crates/daemon/tests/processes/paused_agent.rs
@@ -14,7 +14,7 @@
 // One request on each flow; all of them run at once on the slots of the three hosts.
 const KILL_FLOWS: usize = 9;
 // Longer than the time to suspect and remove an agent (13 s), a lease (3 s) and the longest
-// pause before a resend (5 s).
+// delay before a resend (5 s).
 const PAUSE: Duration = Duration::from_secs(16);
 const RUN_TIME: Span = Span::from_millis(300);
 
@@ -148,7 +148,7 @@
             // A run that reaches its deadline is cancelled and reported as failed.
             Some(Outcome::Answered(_) | Outcome::Failed(_)) => assert_eq!(runs, 1, "{key}"),
             Some(Outcome::Unknown) => {}
-            Some(Outcome::NotRun { .. }) => assert_eq!(before, 0, "{key}: told not run"),
+            Some(Outcome::NotRun { .. }) => assert_eq!(before, 0, "{key}: reported as not run"),
             None => panic!("{key}: no outcome"),
         }
     }
--- a/crates/daemon/tests/processes/planned_stop.rs
+++ b/crates/daemon/tests/processes/planned_stop.rs
@@ -76,10 +76,10 @@
     deployment.add_agent(BOOKING, 2);
     deployment.await_members(BOOKING, 3);
     deployment.await_in_force(ANSWER_LIMIT);
-    // Flows that were handed over stay there; new flows reach the restarted agent as well.
+    // Handed-over flows stay on their new hosts; new flows reach the restarted agent as well.
     let before = deployment.backends[HOST].total();
     let fresh = Load::start(&caller, open(&caller, BOOKING, FLOWS), once);
-    await_until("work for the new agent", ANSWER_LIMIT, || {
+    await_until("runs on the restarted host", ANSWER_LIMIT, || {
         deployment.backends[HOST].total() > before
     });
     fresh.await_answers(ANSWERS_PER_STEP);
--- a/crates/daemon/tests/processes/store_down.rs
+++ b/crates/daemon/tests/processes/store_down.rs
@@ -111,7 +111,7 @@
         if row["stale"] == true {
             // The processes already have a newer configuration than the stale store returns.
             let until = Instant::now() + IN_FORCE;
-            await_until("readings", IN_FORCE * 2, || {
+            await_until("the end of the readings", IN_FORCE * 2, || {
                 revisions.observe(&deployment);
                 Instant::now() >= until
             });
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -67,7 +67,7 @@
                 .and_then(|keys| keys.get(key.name));
             let value = value.unwrap_or_else(|| panic!("{role}: no {} {}", key.section, key.name));
             if let DefaultValue::Value(default) = key.default {
-                assert_eq!(value, default, "{role}: {} shows its default", key.name);
+                assert_eq!(value, default, "{role}: default of {}", key.name);
             }
         }
     }
