--- a/crates/bench/src/model/run_result.rs
+++ b/crates/bench/src/model/run_result.rs
@@ -29,7 +29,7 @@
     pub control: Vec<u64>,
     /// Number of calls to backend servers.
     pub runs: u64,
-    /// Simulated time that the run lasted.
+    /// Simulated time that a run of the system lasted; zero for other subjects.
     pub duration: Span,
 }
 
