--- a/crates/bench/src/model/run_result.rs
+++ b/crates/bench/src/model/run_result.rs
@@ -29,7 +29,7 @@
     pub control: Vec<u64>,
     /// Number of calls to backend servers.
     pub runs: u64,
-    /// Simulated time that the run lasted.
+    /// Simulated time that a run of the system lasted; zero for other subjects.
     pub duration: Span,
 }
 
@@ -66,8 +66,8 @@
             .map(|h| h.busy_time.as_secs_f64() * h.speed)
             .sum();
         let strength: f64 = self.hosts.iter().map(|h| h.speed * h.slots as f64).sum();
-        let even = used / strength;
-        let load = |h: &Host| h.busy_time.as_secs_f64() / h.slots as f64 / even;
+        let mean = used / strength;
+        let load = |h: &Host| h.busy_time.as_secs_f64() / h.slots as f64 / mean;
         self.hosts.iter().map(load).collect()
     }
 
