--- a/crates/node/src/agent/control.rs
+++ b/crates/node/src/agent/control.rs
@@ -234,7 +234,7 @@
     fn expire(&self, now: Time) {
         self.shared.forwarder().expire(now, self.settings.flow_life);
         for node in self.fleet.borrow_mut().expire(now) {
-            event::BALANCER_FORGOTTEN.log(&[("balancer", &node)]);
+            event::BALANCER_EXPIRED.log(&[("balancer", &node)]);
         }
     }
 
--- a/crates/node/src/balancer/state.rs
+++ b/crates/node/src/balancer/state.rs
@@ -217,11 +217,11 @@
     /// Removes hosts and balancers that have been silent for too long.
     pub(crate) fn expire(&mut self, now: Time) {
         if self.directory.expire(now) {
-            event::HOSTS_FORGOTTEN.log(&[]);
+            event::HOSTS_EXPIRED.log(&[]);
             self.publish();
         }
         for node in self.fleet.expire(now) {
-            event::BALANCER_FORGOTTEN.log(&[("balancer", &node)]);
+            event::BALANCER_EXPIRED.log(&[("balancer", &node)]);
         }
     }
 
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -10,21 +10,21 @@
     READY = 2007, Info, "readiness changed";
     RESUMED = 2008, Warn, "process was suspended";
     CONFIGURED = 2101, Info, "configuration in force";
-    CONFIG_UNREADABLE = 2102, Error, "configuration not understood; the earlier one stays in force";
+    CONFIG_UNREADABLE = 2102, Error, "configuration not valid; the earlier one stays in force";
     CONFIG_FETCH_FAILED = 2103, Warn, "configuration not fetched from a balancer";
-    STORE_DOWN = 2111, Warn, "store does not serve this node";
+    STORE_DOWN = 2111, Warn, "store unavailable";
     STORE_UP = 2112, Info, "store available again";
     HISTORY_DROPPED = 2113, Info, "store has dropped its history; reading again";
     REGISTERED = 2114, Info, "balancer registered in the store";
     BALANCER_FOUND = 2121, Info, "balancer discovered";
-    BALANCER_FORGOTTEN = 2122, Info, "silent balancer removed from the fleet";
+    BALANCER_EXPIRED = 2122, Info, "silent balancer removed from the fleet";
     BALANCER_REMOVED = 2123, Info, "entry of a silent balancer removed from the store";
     HOST_CHANGED = 2131, Info, "host changed";
-    HOSTS_FORGOTTEN = 2132, Info, "silent hosts removed";
+    HOSTS_EXPIRED = 2132, Info, "silent hosts removed";
     BACKEND_STARTED = 2141, Info, "backend server started";
     BACKEND_CHANGED = 2142, Info, "backend server changed state";
     BACKEND_LEFT = 2143, Info, "backend server left";
-    HEARTBEAT_REFUSED = 2144, Warn, "heartbeat not usable";
+    HEARTBEAT_REFUSED = 2144, Warn, "heartbeat refused";
     HEARTBEAT_LATE = 2145, Info, "outdated heartbeat ignored";
     FLOW_PLACED = 2201, Info, "flow placed";
     FLOW_SEARCHED = 2202, Info, "searching for the host of a flow";
@@ -36,6 +36,6 @@
     FLOW_MISSING = 2213, Info, "flow not found at any agent";
     FLOW_HELD = 2214, Info, "flow waits for a slot";
     MALFORMED = 2301, Debug, "malformed input ignored";
-    RECEIVE_FAILED = 2302, Warn, "datagrams not received";
+    RECEIVE_FAILED = 2302, Warn, "receiving datagrams failed";
     SEND_FAILED = 2303, Debug, "sending a datagram failed";
 }
--- a/crates/runtime/src/event.rs
+++ b/crates/runtime/src/event.rs
@@ -12,10 +12,10 @@
     RESTORED = 1105, Info, "member responds again";
     REMOVED = 1106, Warn, "member removed from the roster";
     ROSTER_WRITE = 1107, Warn, "roster write failed";
-    UNLISTED = 1108, Warn, "removed from the fleet by others; joining again";
+    UNLISTED = 1108, Warn, "removed from the fleet by other balancers; rejoining";
     CONFIG = 1201, Info, "configuration adopted";
     CONFIG_PEER = 1202, Info, "configuration fetched from a peer";
-    CONFIG_INVALID = 1203, Error, "object not understood";
+    CONFIG_INVALID = 1203, Error, "object cannot be parsed";
     STORE_DOWN = 1301, Warn, "store not reachable";
     STORE_UP = 1302, Info, "store reachable";
     BACKEND_UP = 1401, Info, "backend server connected";
