--- a/crates/node/examples/cost.rs
+++ b/crates/node/examples/cost.rs
@@ -18,7 +18,9 @@
 const MICROS_PER_TICK: f64 = 10_000.0;
 
 fn main() {
-    let program = std::env::args().nth(1).expect("the path of the node");
+    let program = std::env::args()
+        .nth(1)
+        .expect("the first argument is the path of the node");
     let folder = std::env::temp_dir();
     let deployment = Deployment::start(NET, Path::new(&program), &folder);
     eventually("the balancer is ready", || deployment.ready() == 200);
@@ -43,7 +45,10 @@
     let mut packet = deployment.await_flow(1_000);
     packet[14..18].fill(0);
     packet[18] = ACK_FLAG;
-    let backend = deployment.backend.try_clone().expect("a socket");
+    let backend = deployment
+        .backend
+        .try_clone()
+        .expect("the socket can be duplicated");
     thread::spawn(move || while receive(&backend).is_some() {});
     let before = nodes.map(|(_, node)| (micros(node), switches(node)));
     let begin = Instant::now();
--- a/crates/node/src/agent/calls.rs
+++ b/crates/node/src/agent/calls.rs
@@ -34,13 +34,13 @@
         let now = usher_clock::now();
         let (born, sequence, slots) = (update.born, update.sequence, update.slots);
         let service = update.service.clone();
-        let (change, ended) = self.shared.forwarder().on_heartbeat(now, update);
-        for (flow, received) in &ended {
+        let (effect, lost_flows) = self.shared.forwarder().on_heartbeat(now, update);
+        for (flow, received) in &lost_flows {
             self.shared.reset(flow, *received);
             event::FLOW_RESET.log(&[("flow", flow), ("reason", &"backend-restarted")]);
         }
         let state = self.shared.forwarder().state();
-        let event = match change {
+        let event = match effect {
             HeartbeatEffect::Started => event::BACKEND_STARTED,
             HeartbeatEffect::Changed => event::BACKEND_CHANGED,
             HeartbeatEffect::Late => event::HEARTBEAT_LATE,
@@ -63,13 +63,13 @@
 
     fn on_leave(&self, id: &str) {
         let now = usher_clock::now();
-        let ended = self.shared.forwarder().on_leave(now, id);
-        let Some(ended) = ended else {
+        let lost_flows = self.shared.forwarder().on_leave(now, id);
+        let Some(lost_flows) = lost_flows else {
             event::HEARTBEAT_LATE.log(&[("id", &id), ("call", &"leave")]);
             return;
         };
-        event::BACKEND_LEFT.log(&[("id", &id), ("flows", &ended.len())]);
-        for (flow, received) in &ended {
+        event::BACKEND_LEFT.log(&[("id", &id), ("flows", &lost_flows.len())]);
+        for (flow, received) in &lost_flows {
             self.shared.reset(flow, *received);
             event::FLOW_RESET.log(&[("flow", flow), ("reason", &"backend-left")]);
         }
--- a/crates/node/src/agent/control.rs
+++ b/crates/node/src/agent/control.rs
@@ -26,8 +26,9 @@
 const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 // How often expired flows and silent balancers are removed.
 const EXPIRY_INTERVAL: Span = Span::from_secs(1);
-// How often the store is asked for balancers: while none is heard, and otherwise.
+// How often the store is asked for balancers while none is heard.
 const SEARCH_INTERVAL: Duration = Duration::from_millis(500);
+// How often it is asked while a balancer is heard.
 const RELIST_INTERVAL: Duration = Duration::from_secs(30);
 // Longest wait for open flows at a planned stop.
 const DRAIN_LIMIT: Span = Span::from_secs(3);
@@ -176,7 +177,7 @@
                         last_expiry = now;
                         self.expire(now);
                     }
-                    if self.may_end(now) {
+                    if self.can_exit(now) {
                         return;
                     }
                 }
@@ -248,7 +249,7 @@
         event::STOPPING.log(&[("within", &span), ("flows", &open)]);
     }
 
-    fn may_end(&self, now: Time) -> bool {
+    fn can_exit(&self, now: Time) -> bool {
         let Some(end) = self.stopping.get() else {
             return false;
         };
--- a/crates/node/src/agent/traffic.rs
+++ b/crates/node/src/agent/traffic.rs
@@ -88,7 +88,7 @@
         });
     }
 
-    /// Delivers waiting flows that got a slot, and refuses those whose callers give up.
+    /// Delivers queued flows that get a slot, and refuses those that have waited too long.
     pub(crate) fn release(&self) {
         let mut ready = Vec::new();
         {
--- a/crates/node/src/balancer/control.rs
+++ b/crates/node/src/balancer/control.rs
@@ -27,8 +27,8 @@
 /// HTTP path at which balancers serve the configuration to each other.
 pub(crate) const CONFIGURATION_PATH: &str = "/configuration";
 
-// How often a balancer sends hello messages to balancers and agents. Their version number bounds
-// how long a balancer that the store does not serve stays behind.
+// How often a balancer sends hello messages to balancers and agents. They name its configuration
+// version, so the interval bounds how long a balancer without the store stays outdated.
 const HELLO_INTERVAL: Span = Span::from_millis(300);
 // How often reports of agents are relayed: as often as agents send them.
 const RELAY_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/node/src/balancer/state.rs
+++ b/crates/node/src/balancer/state.rs
@@ -16,8 +16,7 @@
 // Nodes listed in one hello message, four bytes each, so that it fits one datagram.
 const HELLO_BALANCERS: usize = 64;
 const HELLO_AGENTS: usize = 256;
-// Without a serving host, a balancer is ready after this time anyway: it refuses at once what no
-// host can serve.
+// A balancer without a serving host is ready after this time, since it can refuse flows at once.
 const HOST_WAIT: Span = Span::from_secs(3);
 
 /// Control state of a balancer, owned by its control thread.
@@ -232,21 +231,21 @@
             .directory
             .agents()
             .filter_map(|agent| self.directory.state(now, agent));
-        let host = states.any(|(state, _)| state == HostState::Serving);
+        let serving = states.any(|(state, _)| state == HostState::Serving);
         let configured = self.version() > Version::default();
         let settings = &self.settings;
         let (local, capacity) = (settings.node, settings.capacity);
         let standby = self
             .fleet
             .is_standby(now, local, capacity, &settings.centre);
-        let hosts = host || now - self.started > HOST_WAIT;
+        let hosts = serving || now - self.started > HOST_WAIT;
         let ready = configured && !self.stopping && hosts && !standby;
         if ready != self.ready {
             self.ready = ready;
             event::READY.log(&[
                 ("ready", &ready),
                 ("version", &self.version()),
-                ("hosts", &host),
+                ("hosts", &serving),
                 ("standby", &standby),
                 ("stopping", &self.stopping),
             ]);
--- a/crates/node/src/control/store.rs
+++ b/crates/node/src/control/store.rs
@@ -82,8 +82,9 @@
     version: Version,
 }
 
-/// Removes a balancer's entry, unless it has changed since it was listed. If the answer
-/// is lost, the next list shows the outcome.
+/// Removes a balancer's entry, unless it has changed since it was listed.
+///
+/// If the answer is lost, the next list shows the outcome.
 pub(crate) async fn remove(client: &mut Client, listed: &Listed) {
     let request = Request::delete(BALANCERS, &listed.name, listed.version);
     let outcome = match client.call("remove", &request, CALL_TIMEOUT).await {
@@ -97,8 +98,9 @@
     ]);
 }
 
-/// Lists the balancers in the store; the list may be some seconds old. `None` if the store is not
-/// available.
+/// Lists the balancers in the store; `None` if the store is not available.
+///
+/// The list may be some seconds old.
 pub(crate) async fn list_balancers(client: &mut Client) -> Option<Vec<Listed>> {
     let mut nodes = Vec::new();
     let mut after: Option<String> = None;
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -12,7 +12,7 @@
 const WORK_BUCKETS: [f64; 11] = [
     0.001, 0.003, 0.01, 0.02, 0.03, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0,
 ];
-// Reports come every 100 ms; a host is avoided after 250 ms.
+// Reports come every 100 ms; a host is avoided after 300 ms.
 const AGE_BUCKETS: [f64; 7] = [0.01, 0.05, 0.1, 0.15, 0.25, 0.5, 2.0];
 // A packet visits 16 agents at most.
 const HOP_BUCKETS: [f64; 6] = [0.0, 1.0, 2.0, 4.0, 8.0, 16.0];
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -47,7 +47,7 @@
     pub packets: SocketAddrV4,
     /// Address at which the platform checks readiness.
     pub ready: SocketAddrV4,
-    /// First port between nodes: hello messages and reports over UDP, configuration over TCP.
+    /// Port between nodes: hello messages and reports over UDP, configuration over TCP.
     pub peer_port: u16,
     /// Balancers to contact at the start, in case the store is unavailable.
     pub seeds: Vec<NodeId>,
--- a/crates/node/src/socket.rs
+++ b/crates/node/src/socket.rs
@@ -7,8 +7,8 @@
 
 use crate::{NodeError, event};
 
-// Bytes of packets that wait while the node is not scheduled; about 600 long packets.
-const RECEIVE_BUFFER: usize = 1_048_576;
+// Buffers about 600 long packets while the node is not scheduled.
+const RECEIVE_BUFFER_BYTES: usize = 1_048_576;
 /// Pause before a failed socket call is repeated, for example for lack of descriptors.
 pub(crate) const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
@@ -21,8 +21,8 @@
     };
     let socket = UdpSocket::bind(address).map_err(failed)?;
     // A small buffer loses packets under load but does not stop the node.
-    if let Err(fault) = SockRef::from(&socket).set_recv_buffer_size(RECEIVE_BUFFER) {
-        event::RECEIVE_FAILED.log(&[("buffer", &RECEIVE_BUFFER), ("fault", &fault)]);
+    if let Err(fault) = SockRef::from(&socket).set_recv_buffer_size(RECEIVE_BUFFER_BYTES) {
+        event::RECEIVE_FAILED.log(&[("buffer", &RECEIVE_BUFFER_BYTES), ("fault", &fault)]);
     }
     Ok(socket)
 }
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -24,7 +24,9 @@
     let Ok(range) = env::var("USHER_SOAK_SEEDS") else {
         return SEEDS.to_vec();
     };
-    let (first, last) = range.split_once("..").expect("FIRST..LAST");
+    let (first, last) = range
+        .split_once("..")
+        .expect("USHER_SOAK_SEEDS is FIRST..LAST");
     (first.parse().unwrap()..=last.parse().unwrap()).collect()
 }
 
--- a/crates/node/tests/soak_run/callers.rs
+++ b/crates/node/tests/soak_run/callers.rs
@@ -111,7 +111,10 @@
             // A flow without any answer may have been at a backend server that ended.
             let unknown =
                 flow.answer.is_none() && ended.values().any(|ended| *ended > flow.started);
-            assert!(served || !permanent || unknown, "flow {port}: {flow:?}");
+            assert!(
+                served || !permanent || unknown,
+                "flow {port} is not served: {flow:?}"
+            );
         }
     }
 
@@ -196,7 +199,7 @@
     }
 
     fn handle(&mut self, packet: &[u8]) {
-        let packet_header = decode_header(packet).expect("nodes send whole packets");
+        let packet_header = decode_header(packet).expect("nodes send valid packets");
         let port = packet_header.target.port();
         let Some(flow) = self.flows.get_mut(&port) else {
             return;
@@ -251,7 +254,7 @@
         };
         assert!(
             ended,
-            "flow {port} was reset while its host lived: {flow:?}"
+            "flow {port} was reset while its host was running: {flow:?}"
         );
     }
 
--- a/crates/node/tests/soak_run/mod.rs
+++ b/crates/node/tests/soak_run/mod.rs
@@ -28,6 +28,7 @@
     ("198.18.0.2", 443, "pedigree"),
     ("198.18.0.3", 443, "namedesk"),
 ];
+// Third byte of the run's addresses, 127.0.net.host: from the first on, by the seed.
 const FIRST_NET: u64 = 100;
 const NETS: u64 = 100;
 // Time to recover from the last fault: to detect a dead connection to the store, and to receive
