--- a/crates/forwarding/src/fleet.rs
+++ b/crates/forwarding/src/fleet.rs
@@ -133,8 +133,8 @@
 
     /// Balancers of a data centre that are heard.
     pub fn local_balancers(&self, now: Time, centre: &DataCentre) -> Vec<NodeId> {
-        let members = self.members.iter();
-        members
+        let balancers = self.members.iter();
+        balancers
             .filter(|(_, member)| member.is_present(now) && member.is_in(centre))
             .map(|(node, _)| *node)
             .collect()
