--- a/crates/node/src/logs.rs
+++ b/crates/node/src/logs.rs
@@ -18,8 +18,8 @@
 // Longest wait for the writer when the process exits.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-// Most lines of one event per second. A balancer places 50 flows per second, and several hundred after
-// an outage.
+// Most lines of one event per second. A balancer places 50 flows per second, and several hundred
+// after an outage.
 const LINES_PER_SECOND: u32 = 500;
 
 static DROPPED: AtomicU64 = AtomicU64::new(0);
--- a/crates/node/tests/soak_run/faults.rs
+++ b/crates/node/tests/soak_run/faults.rs
@@ -53,7 +53,7 @@
     born: u64,
 }
 
-// Stands for the store and its operator, which count as one machine.
+// Represents the store and its operator, which count as one machine.
 const STORE: u8 = 1;
 // Time until a stopped balancer starts again. A planned stop takes 2.5 s; its address is free after
 // that.
