--- a/crates/forwarding/src/balancer/directory.rs
+++ b/crates/forwarding/src/balancer/directory.rs
@@ -10,8 +10,8 @@
 
 // A silent host is removed after this time, if other hosts are heard.
 const REMOVE_AFTER: Span = Span::from_secs(30);
-// The record of an ended host is kept so that late reports of the ended process do not make the host
-// present again. Its flows are over for their callers after the longest life of a flow.
+// The record of an ended host is kept so that late reports of the ended process do not make the
+// host present again. Its flows are over for their callers after the longest life of a flow.
 const ENDED_RETENTION: Span = Span::from_secs(10);
 
 /// The hosts that a balancer knows from the reports of their agents.
--- a/crates/forwarding/src/fleet.rs
+++ b/crates/forwarding/src/fleet.rs
@@ -243,8 +243,9 @@
     /// Balancers that an agent reports to.
     ///
     /// In a small fleet, all; in a large one, a few chosen by weighted rendezvous hashing, which
-    /// relay the reports to the others. Balancers of the agent's data centre are strongly preferred,
-    /// and those about to stop are left out. While too few are heard, silent ones are tried.
+    /// relay the reports to the others. Balancers of the agent's data centre are strongly
+    /// preferred, and those about to stop are left out. While too few are heard, silent ones are
+    /// tried.
     pub fn relays(&mut self, now: Time, agent: NodeId, centre: &DataCentre) -> Vec<NodeId> {
         if self.members.len() <= SMALL_FLEET {
             return self.due(now);
