--- a/crates/cli/src/commands/forget.rs
+++ b/crates/cli/src/commands/forget.rs
@@ -13,7 +13,7 @@
     subcommand,
     name = "forget",
     example = "{command_name} entry-1",
-    note = "Balancers of one data centre remove a dead one by themselves. A data centre with a single balancer has nobody who would; until its entry is gone, `apply --wait` and `status --check` name it.",
+    note = "Balancers of one data centre remove a dead one by themselves. In a data centre with a single balancer, no other one does so; until its entry is removed, `apply --wait` and `status --check` name it.",
     note = "A balancer that still answers is not taken out: stop it with SIGTERM."
 )]
 pub(crate) struct Forget {
--- a/crates/cli/src/commands/report.rs
+++ b/crates/cli/src/commands/report.rs
@@ -31,7 +31,7 @@
     example = "{command_name}",
     example = "{command_name} --service booking-desk --json",
     note = "The windows are 5 minutes, 1 hour and 30 days. A burn rate of 1 spends the budget of the profile's objective within exactly 30 days.",
-    note = "Each agent counts for as long as it runs and hands its counts on to nobody: COVERED names the longest time that a host has counted for, and hosts that do not answer are listed."
+    note = "Each agent counts for as long as it runs and does not hand its counts over: COVERED names the longest time that a host has counted for, and hosts that do not answer are listed."
 )]
 pub(crate) struct Burn {
     /// only this service
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -48,7 +48,7 @@
         cause: Box<StoreError>,
     },
 
-    #[error("MU-8008: written, but another operator's change does not fit it:\n{}", indented_lines(.0))]
+    #[error("MU-8008: written, but it conflicts with another operator's change:\n{}", indented_lines(.0))]
     #[diagnostic(help(
         "change one of the objects named; until then the one accepted first is in force"
     ))]
--- a/crates/config/src/conflict.rs
+++ b/crates/config/src/conflict.rs
@@ -5,7 +5,7 @@
 /// A write whose condition does not hold in the store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Conflict {
-    /// The change that was not made.
+    /// The change that the write was to make.
     pub change: Change,
     /// State of the object in the store; `None` when it never existed.
     pub current: Option<Object>,
