--- a/crates/forwarding/tests/agent/flows.rs
+++ b/crates/forwarding/tests/agent/flows.rs
@@ -23,7 +23,7 @@
 ///
 /// Also against the loss of its open flows.
 #[test]
-fn a_leaving_backend_server_gets_no_new_flow_and_keeps_its_own() {
+fn a_draining_backend_server_gets_no_new_flow_and_keeps_its_flows() {
     let mut agent = serving_agent();
     open_flow(&mut agent, 1);
     let draining = HostHeartbeat {
@@ -121,7 +121,7 @@
 /// A late copy of its opening packet reached this agent. The backend server answered the copy, and
 /// then ended.
 #[test]
-fn a_late_copy_of_a_first_packet_ends_in_silence() {
+fn a_late_copy_of_an_opening_packet_causes_no_reset() {
     let begin = || {
         let mut agent = serving_agent();
         agent.on_packet(at(1), &opening(1), &forward_header(&[3, 4], 0));
@@ -141,7 +141,7 @@
 
 /// Guards against delivery to another service at a reused address.
 #[test]
-fn an_opening_packet_of_another_service_is_passed_on() {
+fn an_opening_packet_of_another_service_is_forwarded() {
     let other = ForwardHeader {
         service: ServiceKey::of("pedigree"),
         ..forward_header(&[3, 4], 0)
--- a/crates/forwarding/tests/balancer.rs
+++ b/crates/forwarding/tests/balancer.rs
@@ -318,7 +318,7 @@
 ///
 /// A large service has more hosts than one search round visits.
 #[test]
-fn a_search_visits_all_hosts_of_a_large_service_before_it_gives_up() {
+fn a_search_visits_all_hosts_of_a_large_service_before_a_reset() {
     let mut fixture = Fixture::new();
     for last in 10..47 {
         fixture.on_report(1, last, &report(1, SERVICE));
--- a/crates/node/src/balancer/state.rs
+++ b/crates/node/src/balancer/state.rs
@@ -84,7 +84,7 @@
                     ("source", &source),
                 ]);
             }
-            Err(fault) => event::CONFIG_UNREADABLE.log(&[("version", &version), ("fault", &fault)]),
+            Err(fault) => event::CONFIG_INVALID.log(&[("version", &version), ("fault", &fault)]),
         }
     }
 
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -10,7 +10,7 @@
     READY = 2007, Info, "readiness changed";
     RESUMED = 2008, Warn, "process was suspended";
     CONFIGURED = 2101, Info, "configuration in force";
-    CONFIG_UNREADABLE = 2102, Error, "configuration not valid; the earlier one stays in force";
+    CONFIG_INVALID = 2102, Error, "configuration not valid; the earlier one stays in force";
     CONFIG_FETCH_FAILED = 2103, Warn, "configuration not fetched from a balancer";
     STORE_DOWN = 2111, Warn, "store unavailable";
     STORE_UP = 2112, Info, "store available again";
--- a/crates/node/tests/processes.rs
+++ b/crates/node/tests/processes.rs
@@ -28,7 +28,7 @@
 
 /// Guards against packets that are lost or changed between the caller and the backend server.
 #[test]
-fn a_flow_goes_there_and_back() {
+fn packets_pass_in_both_directions() {
     let deployment = start(11);
     let packet = deployment.await_flow(1_000);
     let mut sent = packet.clone();
@@ -81,7 +81,7 @@
 
 /// Guards against malformed input from outside that ends a process.
 #[test]
-fn malformed_input_ends_nothing() {
+fn malformed_input_ends_no_process() {
     let mut deployment = start(15);
     for length in [0, 1, 21, 30, 31, 500, 1_400] {
         deployment.send(&vec![0xff; length]);
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -94,7 +94,7 @@
 /// Guards against a signal that ends a process before it has read its settings. The platform may
 /// send one at any time, and a slow machine takes long to start.
 #[test]
-fn a_signal_at_the_start_ends_nothing() {
+fn a_signal_during_startup_ends_no_process() {
     let fifo = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("early-signal.ini");
     // An earlier run may have left it.
     drop(fs::remove_file(&fifo));
--- a/crates/routing/src/hint_table.rs
+++ b/crates/routing/src/hint_table.rs
@@ -80,10 +80,10 @@
     ///
     /// ```
     /// let mut hints = usher_routing::HintTable::new(10);
-    /// hints.forget(&"10.0.0.1:4000>192.0.2.1:80#7".parse()?);
+    /// hints.remove(&"10.0.0.1:4000>192.0.2.1:80#7".parse()?);
     /// # Ok::<(), usher_types::ParseError>(())
     /// ```
-    pub fn forget(&mut self, flow: &FlowId) {
+    pub fn remove(&mut self, flow: &FlowId) {
         self.young.remove(flow);
         self.old.remove(flow);
     }
--- a/crates/routing/tests/router.rs
+++ b/crates/routing/tests/router.rs
@@ -117,6 +117,6 @@
         Some(agent(2)),
         "a newer hint replaces an earlier one"
     );
-    hints.forget(&flow(ADDRESS, 0));
+    hints.remove(&flow(ADDRESS, 0));
     assert_eq!(hints.holder(&flow(ADDRESS, 0)), None);
 }
