--- a/crates/dedupe/src/transfer.rs
+++ b/crates/dedupe/src/transfer.rs
@@ -26,6 +26,7 @@
     /// Roster that the sender has adopted and that makes the receiver the owner.
     pub roster: Version,
     /// Earlier owners whose records are complete in this transfer.
+    #[serde(rename = "covers")]
     pub coverage: Vec<Coverage>,
     /// Earlier rosters that the sender still keeps; the receiver may have skipped some.
     pub rosters: Vec<PastRoster>,
--- a/crates/dedupe/tests/dedupe/main.rs
+++ b/crates/dedupe/tests/dedupe/main.rs
@@ -2,6 +2,7 @@
 
 mod claimant;
 mod fixture;
+mod handover_json;
 mod ledger;
 mod process;
 mod property;
--- a/crates/flows/src/transfer.rs
+++ b/crates/flows/src/transfer.rs
@@ -17,6 +17,7 @@
     /// Received segments of incomplete messages.
     pub segments: Vec<Segment>,
     /// Messages to the caller that are not fully acknowledged.
+    #[serde(rename = "output")]
     pub unacked: Vec<UnackedMessage>,
 }
 
--- a/crates/types/src/relay.rs
+++ b/crates/types/src/relay.rs
@@ -37,6 +37,7 @@
     /// The bucket's new owner asks the earlier owners in turn. Unknown flows return to it.
     Probe,
     /// No earlier owner knows the flow; the bucket's owner decides alone.
+    #[serde(rename = "Probed")]
     ProbeDone,
     /// The sender knows from a directory entry or hint that the receiver holds the flow.
     Direct,
